--- a/src/placement/placementserver.h
+++ b/src/placement/placementserver.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "placement/fleetlimits.h"
-#include "placement/upstreamboard.h"
+#include "placement/upstreampool.h"
 #include "placement/waitingline.h"
 
 #include "placement.pb.h"
--- a/src/placement/upstreamboard.cpp
+++ b/src/placement/upstreamboard.cpp
@@ -1,4 +1,4 @@
-#include "placement/upstreamboard.h"
+#include "placement/upstreampool.h"
 
 #include "common/hash.h"
 
