--- a/src/placement/fleetlimits.h
+++ b/src/placement/fleetlimits.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "common/types.h"
-#include "placement/waitingline.h"
+#include "placement/requestqueue.h"
 
 #include "routing.pb.h"
 
--- a/src/placement/placementserver.h
+++ b/src/placement/placementserver.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "placement/fleetlimits.h"
+#include "placement/requestqueue.h"
 #include "placement/upstreampool.h"
-#include "placement/waitingline.h"
 
 #include "placement.pb.h"
 
--- a/src/proxy/proxyrequest.h
+++ b/src/proxy/proxyrequest.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "entry/exchange.h"
-#include "placement/waitingline.h"
+#include "placement/requestqueue.h"
 #include "proxy/attempts.h"
 #include "proxy/eventsplitter.h"
 #include "proxy/proxytypes.h"
--- a/tests/placement/waitinglinetest.cpp
+++ b/tests/placement/waitinglinetest.cpp
@@ -1,4 +1,4 @@
-#include "placement/waitingline.h"
+#include "placement/requestqueue.h"
 
 #include "placement/placementtypes.h"
 
