--- a/src/placement/enginepace.cpp
+++ b/src/placement/enginepace.cpp
@@ -1,4 +1,4 @@
-#include "placement/enginepace.h"
+#include "placement/firsteventmodel.h"
 
 #include <algorithm>
 
--- a/src/placement/upstreampool.h
+++ b/src/placement/upstreampool.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "placement/enginepace.h"
+#include "placement/firsteventmodel.h"
 #include "placement/placementtypes.h"
 #include "placement/streampauses.h"
 
