--- a/src/placement/upstreampool.h
+++ b/src/placement/upstreampool.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "placement/firsteventmodel.h"
+#include "placement/pauseratioestimator.h"
 #include "placement/placementtypes.h"
-#include "placement/streampauses.h"
 
 #include "control.pb.h"
 
--- a/tests/placement/streampausestest.cpp
+++ b/tests/placement/streampausestest.cpp
@@ -1,4 +1,4 @@
-#include "placement/streampauses.h"
+#include "placement/pauseratioestimator.h"
 
 #include <catch2/catch.hpp>
 
