--- a/src/proxy/placementhost.h
+++ b/src/proxy/placementhost.h
@@ -4,7 +4,7 @@
 #include "peer/datagramsocket.h"
 #include "placement/placementclient.h"
 #include "placement/placementserver.h"
-#include "proxy/instancefeed.h"
+#include "proxy/instancelistreader.h"
 
 #include <memory>
 #include <optional>
--- a/tests/proxy/instancefeedtest.cpp
+++ b/tests/proxy/instancefeedtest.cpp
@@ -1,4 +1,4 @@
-#include "proxy/instancefeed.h"
+#include "proxy/instancelistreader.h"
 
 #include "entry/frontdoor.h"
 
