--- a/src/proxy/ordermaker.cpp
+++ b/src/proxy/ordermaker.cpp
@@ -1,4 +1,4 @@
-#include "proxy/ordermaker.h"
+#include "proxy/requestparser.h"
 
 #include "common/hash.h"
 
--- a/src/proxy/proxytask.h
+++ b/src/proxy/proxytask.h
@@ -5,9 +5,9 @@
 #include "common/metrics.h"
 #include "control/controltask.h"
 #include "entry/frontdoor.h"
-#include "proxy/ordermaker.h"
 #include "proxy/placementhost.h"
 #include "proxy/proxyrequest.h"
+#include "proxy/requestparser.h"
 #include "proxy/retrybudget.h"
 
 #include <functional>
