--- a/src/bench/cumindykepolicy.h
+++ b/src/bench/cumindykepolicy.h
@@ -2,7 +2,7 @@
 
 #include "bench/world.h"
 #include "cell/cellscheduler.h"
-#include "cell/grantbook.h"
+#include "cell/grantpool.h"
 #include "policy/lengthestimate.h"
 #include "policy/servequeue.h"
 #include "policy/shedding.h"
--- a/src/cell/grantbook.cpp
+++ b/src/cell/grantbook.cpp
@@ -1,4 +1,4 @@
-#include "cell/grantbook.h"
+#include "cell/grantpool.h"
 
 #include "common/hash.h"
 
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "cell/grantbook.h"
+#include "cell/grantpool.h"
 #include "domain/declarations.h"
 #include "entry/callerrequest.h"
 #include "entry/versiontraffic.h"
--- a/tests/cell/schedulertest.cpp
+++ b/tests/cell/schedulertest.cpp
@@ -1,6 +1,6 @@
 #include "cell/cellscheduler.h"
 #include "cell/convert.h"
-#include "cell/grantbook.h"
+#include "cell/grantpool.h"
 #include "policy/shedding.h"
 
 #include <catch2/catch.hpp>
