--- a/src/celltask/celltask.h
+++ b/src/celltask/celltask.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "cell/cellscheduler.h"
-#include "cell/loadwatch.h"
+#include "cell/loadpoller.h"
 #include "common/mailbox.h"
 #include "common/metrics.h"
 #include "control/controltask.h"
--- a/tests/cell/loadwatchtest.cpp
+++ b/tests/cell/loadwatchtest.cpp
@@ -1,4 +1,4 @@
-#include "cell/loadwatch.h"
+#include "cell/loadpoller.h"
 #include "entry/frontdoor.h"
 #include "support/processes.h"
 
--- a/tests/fuzz/reportsfuzz.cpp
+++ b/tests/fuzz/reportsfuzz.cpp
@@ -1,4 +1,4 @@
-#include "cell/loadwatch.h"
+#include "cell/loadpoller.h"
 #include "common/address.h"
 #include "domain/declarations.h"
 
