--- a/src/control/spreadlog.h
+++ b/src/control/spreadlog.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "common/types.h"
-#include "control/spreadmetrics.h"
+#include "control/distributionmetrics.h"
 
 #include <cstddef>
 #include <cstdint>
