--- a/src/control/leadership.h
+++ b/src/control/leadership.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "control/distribution.h"
+#include "control/distributionlog.h"
 #include "control/fleettally.h"
 #include "control/forwarder.h"
-#include "control/spreadlog.h"
 #include "control/statemachine.h"
 
 #include <functional>
--- a/src/control/spreadlog.cpp
+++ b/src/control/spreadlog.cpp
@@ -1,4 +1,4 @@
-#include "control/spreadlog.h"
+#include "control/distributionlog.h"
 
 #include "common/log.h"
 
