--- a/src/control/controltask.h
+++ b/src/control/controltask.h
@@ -2,9 +2,9 @@
 
 #include "common/eventloop.h"
 #include "common/mailbox.h"
-#include "control/beatschedule.h"
 #include "control/follower.h"
 #include "control/forwarder.h"
+#include "control/heartbeatschedule.h"
 #include "control/leadership.h"
 #include "control/moveleader.h"
 #include "control/orderrunner.h"
--- a/tests/control/beatscheduletest.cpp
+++ b/tests/control/beatscheduletest.cpp
@@ -1,4 +1,4 @@
-#include "control/beatschedule.h"
+#include "control/heartbeatschedule.h"
 
 #include <catch2/catch.hpp>
 
