--- a/src/control/leadership.h
+++ b/src/control/leadership.h
@@ -2,7 +2,7 @@
 
 #include "control/distribution.h"
 #include "control/distributionlog.h"
-#include "control/fleettally.h"
+#include "control/fleetaggregate.h"
 #include "control/forwarder.h"
 #include "control/statemachine.h"
 
--- a/src/control/rolloutleader.h
+++ b/src/control/rolloutleader.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "control/fleettally.h"
+#include "control/fleetaggregate.h"
 #include "control/rollouts.h"
 
 #include <vector>
--- a/tests/control/fleettallytest.cpp
+++ b/tests/control/fleettallytest.cpp
@@ -1,4 +1,4 @@
-#include "control/fleettally.h"
+#include "control/fleetaggregate.h"
 
 #include <catch2/catch.hpp>
 
