--- a/tests/control/largeconfigurationtest.cpp
+++ b/tests/control/largeconfigurationtest.cpp
@@ -1,4 +1,4 @@
-#include "control/spreadrig.h"
+#include "control/distributionrig.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/control/pendingproposalstest.cpp
+++ b/tests/control/pendingproposalstest.cpp
@@ -1,6 +1,6 @@
 #include "control/pendingproposals.h"
+#include "control/distributionrig.h"
 #include "control/routehistory.h"
-#include "control/spreadrig.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/control/routehistorytest.cpp
+++ b/tests/control/routehistorytest.cpp
@@ -1,8 +1,8 @@
 #include "control/routehistory.h"
 #include "common/packing.h"
+#include "control/distributionrig.h"
 #include "control/follower.h"
 #include "control/routechanges.h"
-#include "control/spreadrig.h"
 
 #include <catch2/catch.hpp>
 
