--- a/src/entry/frontdoor.cpp
+++ b/src/entry/frontdoor.cpp
@@ -1,4 +1,4 @@
-#include "entry/frontdoor.h"
+#include "entry/httpserver.h"
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
--- a/src/proxy/proxytask.h
+++ b/src/proxy/proxytask.h
@@ -4,7 +4,7 @@
 #include "common/mailbox.h"
 #include "common/metrics.h"
 #include "control/controltask.h"
-#include "entry/frontdoor.h"
+#include "entry/httpserver.h"
 #include "proxy/placementhost.h"
 #include "proxy/proxyrequest.h"
 #include "proxy/requestparser.h"
--- a/tests/cell/loadpollertest.cpp
+++ b/tests/cell/loadpollertest.cpp
@@ -1,5 +1,5 @@
 #include "cell/loadpoller.h"
-#include "entry/frontdoor.h"
+#include "entry/httpserver.h"
 #include "support/processes.h"
 
 #include <catch2/catch.hpp>
--- a/tests/fakeplatform/fakeplatform.h
+++ b/tests/fakeplatform/fakeplatform.h
@@ -2,7 +2,7 @@
 
 #include "common/eventloop.h"
 #include "common/mailbox.h"
-#include "entry/frontdoor.h"
+#include "entry/httpserver.h"
 
 #include <functional>
 #include <memory>
--- a/tests/proxy/instancelistreadertest.cpp
+++ b/tests/proxy/instancelistreadertest.cpp
@@ -1,6 +1,6 @@
 #include "proxy/instancelistreader.h"
 
-#include "entry/frontdoor.h"
+#include "entry/httpserver.h"
 
 #include <catch2/catch.hpp>
 
