--- a/src/entry/activerequest.h
+++ b/src/entry/activerequest.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "entry/callerrequest.h"
-#include "entry/requestlife.h"
+#include "entry/requestlifecycle.h"
 #include "entry/upstreamrun.h"
 #include "policy/capacity.h"
 
--- a/src/entry/exchange.h
+++ b/src/entry/exchange.h
@@ -2,7 +2,7 @@
 
 #include "common/eventloop.h"
 #include "common/result.h"
-#include "entry/requestlife.h"
+#include "entry/requestlifecycle.h"
 
 #include <sigc++/sigc++.h>
 
--- a/src/entry/outcomes.h
+++ b/src/entry/outcomes.h
@@ -2,7 +2,7 @@
 
 #include "entry/callerrequest.h"
 #include "entry/exchange.h"
-#include "entry/requestlife.h"
+#include "entry/requestlifecycle.h"
 #include "report/outcometally.h"
 
 #include "control.pb.h"
--- a/src/entry/requestlife.cpp
+++ b/src/entry/requestlife.cpp
@@ -1,4 +1,4 @@
-#include "entry/requestlife.h"
+#include "entry/requestlifecycle.h"
 
 namespace cumindyke
 {
