--- a/src/entry/activerequest.h
+++ b/src/entry/activerequest.h
@@ -2,7 +2,7 @@
 
 #include "entry/callerrequest.h"
 #include "entry/requestlifecycle.h"
-#include "entry/upstreamrun.h"
+#include "entry/upstreamattempt.h"
 #include "policy/capacity.h"
 
 #include <memory>
--- a/src/entry/upstreamrun.cpp
+++ b/src/entry/upstreamrun.cpp
@@ -1,4 +1,4 @@
-#include "entry/upstreamrun.h"
+#include "entry/upstreamattempt.h"
 
 #include "entry/headers.h"
 
