--- a/src/entry/entrytask.h
+++ b/src/entry/entrytask.h
@@ -13,7 +13,7 @@
 #include "entry/requeststore.h"
 #include "entry/servicerate.h"
 #include "entry/versiontraffic.h"
-#include "report/outcometally.h"
+#include "report/requestendcounters.h"
 #include "upstream/platformlist.h"
 #include "upstream/streamcanceller.h"
 
--- a/src/entry/outcomes.h
+++ b/src/entry/outcomes.h
@@ -3,7 +3,7 @@
 #include "entry/callerrequest.h"
 #include "entry/exchange.h"
 #include "entry/requestlifecycle.h"
-#include "report/outcometally.h"
+#include "report/requestendcounters.h"
 
 #include "control.pb.h"
 
--- a/src/entry/versiontraffic.h
+++ b/src/entry/versiontraffic.h
@@ -4,7 +4,7 @@
 #include "entry/activerequest.h"
 #include "policy/outcomecounters.h"
 #include "policy/versionrouter.h"
-#include "report/outcometally.h"
+#include "report/requestendcounters.h"
 
 #include "declarations.pb.h"
 #include "report.pb.h"
--- a/src/report/outcometally.cpp
+++ b/src/report/outcometally.cpp
@@ -1,4 +1,4 @@
-#include "report/outcometally.h"
+#include "report/requestendcounters.h"
 
 namespace cumindyke
 {
