--- a/src/raft/core.cpp
+++ b/src/raft/core.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-/// No cluster gets there by elections; beyond it, the next term could overflow.
+/// No cluster reaches this term by elections. The limit keeps the next term from overflowing.
 constexpr Term MaxTerm = Term(1) << 62;
-/// Several round trips and syncs, and short against the election timeout.
-constexpr Duration RestartedRetry = std::chrono::milliseconds(80);
+/// Covers several round trips and syncs, and is short compared with the election timeout.
+constexpr Duration RestartElectionInterval = std::chrono::milliseconds(80);
 
 }
 
@@ -22,15 +22,15 @@
     , m_vote(recovered.vote)
     , m_log(recovered.baseIndex, recovered.baseTerm, recovered.entries)
     , m_snapshot(recovered.snapshot)
-    , m_commit(m_snapshot->index)
-    , m_handedOut(m_snapshot->index)
-    , m_written(m_log.last())
-    , m_durable(m_log.last())
-    // Before a restart this replica may have promised a leader not to vote for a while (heardLeader): it keeps to the longest it can
-    // have promised, or until it knows that no leader is left (askWhoLeads). Without that, a new leader could be chosen while the old one
-    // still reads under its lease.
-    , m_lastLeaderContact(now)
-    , m_process(m_random())
+    , m_commitIndex(m_snapshot->index)
+    , m_lastReturnedIndex(m_snapshot->index)
+    , m_writtenIndex(m_log.lastIndex())
+    , m_durableIndex(m_log.lastIndex())
+    // Before a restart, this replica may have promised a leader to withhold its vote (hasRecentLeaderContact). It keeps that promise for
+    // the longest time it can have been made for, or until it knows that no leader is left (queryForLeader). Otherwise a new leader could
+    // be elected while the old one still serves reads under its lease.
+    , m_lastLeaderContactAt(now)
+    , m_processId(m_random())
 {
     refreshMembership();
     resetElectionDeadline(now);
@@ -51,8 +51,8 @@
 
 void Core::resetElectionDeadline(TimePoint now)
 {
-    const auto spread = static_cast<std::uint64_t>(m_options.electionTimeout.count());
-    m_electionDeadline = now + m_options.electionTimeout + Duration(static_cast<Duration::rep>(m_random() % spread));
+    const auto range = static_cast<std::uint64_t>(m_options.electionTimeout.count());
+    m_electionDeadline = now + m_options.electionTimeout + Duration(static_cast<Duration::rep>(m_random() % range));
 }
 
 void Core::setVote(Term term, const VmName &votedFor)
@@ -86,20 +86,20 @@
     return message;
 }
 
-void Core::promise(v1::RaftMessage &&message)
+void Core::sendAfterSync(v1::RaftMessage &&message)
 {
-    m_effects.promises.push_back(std::move(message));
+    m_effects.messagesAfterSync.push_back(std::move(message));
 }
 
 void Core::append(v1::LogEntry &&entry)
 {
     const Index index = entry.index();
-    std::vector<EntryPointer> &waiting = m_effects.writes.entries;
-    while (!waiting.empty() && waiting.back()->index() >= index) {
-        waiting.pop_back();
+    std::vector<EntryPointer> &pendingEntries = m_effects.writes.entries;
+    while (!pendingEntries.empty() && pendingEntries.back()->index() >= index) {
+        pendingEntries.pop_back();
     }
     auto pointer = std::make_shared<const v1::LogEntry>(std::move(entry));
-    waiting.push_back(pointer);
+    pendingEntries.push_back(pointer);
     m_log.append(pointer);
     if (pointer->has_membership()) {
         m_membership = pointer->membership();
@@ -107,10 +107,10 @@
     }
 }
 
-/// After a restart, a truncation or a snapshot: the newest membership that the log still holds.
+/// Reloads the newest membership from the log after a restart, a truncation or a snapshot.
 void Core::refreshMembership()
 {
-    for (Index index = m_log.last(); index > std::max(m_snapshot->index, m_log.base()); --index) {
+    for (Index index = m_log.lastIndex(); index > std::max(m_snapshot->index, m_log.baseIndex()); --index) {
         if (m_log.at(index)->has_membership()) {
             m_membership = m_log.at(index)->membership();
             m_membershipIndex = index;
@@ -123,7 +123,7 @@
 
 v1::Membership Core::membershipAt(Index index) const
 {
-    for (; index > std::max(m_snapshot->index, m_log.base()); --index) {
+    for (; index > std::max(m_snapshot->index, m_log.baseIndex()); --index) {
         if (m_log.at(index)->has_membership()) {
             return m_log.at(index)->membership();
         }
@@ -133,10 +133,10 @@
 
 void Core::commitTo(Index index)
 {
-    m_commit = std::max(m_commit, std::min(index, m_log.last()));
-    // A replica with a new data folder may vote from the moment its admission is committed: the quorum that committed it
-    // counts no vote of the folder that was lost.
-    if (!m_identity.admitted && m_membershipIndex <= m_commit) {
+    m_commitIndex = std::max(m_commitIndex, std::min(index, m_log.lastIndex()));
+    // A replica with a new data folder may vote once its admission is committed: the quorum that committed the admission counts no vote
+    // made from the lost folder.
+    if (!m_identity.admitted && m_membershipIndex <= m_commitIndex) {
         const auto known = m_membership.incarnations().find(m_options.self.value);
         if (known != m_membership.incarnations().end() && known->second == m_identity.incarnation) {
             m_identity.admitted = true;
@@ -152,10 +152,10 @@
     }
     v1::LogEntry entry;
     entry.set_term(m_vote.term);
-    entry.set_index(m_log.last() + 1);
+    entry.set_index(m_log.lastIndex() + 1);
     entry.set_command(std::move(command));
     append(std::move(entry));
-    return m_log.last();
+    return m_log.lastIndex();
 }
 
 void Core::replicate(TimePoint now)
@@ -164,50 +164,50 @@
         return;
     }
     for (const auto &[member, progress] : m_progress) {
-        sendMore(member, now);
+        sendPendingEntries(member, now);
     }
 }
 
 Result<Index> Core::changeMembership(const v1::Membership &next, TimePoint now)
 {
-    // A leader changes members only after it committed an entry of its own term: otherwise changes of two leaders could overlap
+    // A leader changes the membership only after it has committed an entry of its own term. Otherwise changes of two leaders could overlap
     // without a common quorum (Ongaro's correction of 2015).
-    const bool ready = m_role == Role::Leader && !m_transfer && membershipCommitted() && m_commit >= m_termStart;
-    if (!ready) {
-        return Error{ErrorKind::Unavailable, "not the leader, or a change of the members is under way: try again in a second"};
+    const bool canChange = m_role == Role::Leader && !m_transfer && membershipCommitted() && m_commitIndex >= m_termStartIndex;
+    if (!canChange) {
+        return Error{ErrorKind::Unavailable, "not the leader, or a membership change is in progress: try again in a second"};
     }
-    const std::set<std::string> before(m_membership.voters().begin(), m_membership.voters().end());
-    const std::set<std::string> after(next.voters().begin(), next.voters().end());
+    const std::set<std::string> oldVoters(m_membership.voters().begin(), m_membership.voters().end());
+    const std::set<std::string> newVoters(next.voters().begin(), next.voters().end());
     std::vector<std::string> changed;
-    std::ranges::set_symmetric_difference(before, after, std::back_inserter(changed));
-    if (changed.size() > 1 || after.empty()) {
+    std::ranges::set_symmetric_difference(oldVoters, newVoters, std::back_inserter(changed));
+    if (changed.size() > 1 || newVoters.empty()) {
         return Error{ErrorKind::Invalid, "more than one voter would change: change one at a time"};
     }
-    if (!changed.empty() && after.contains(changed[0])) {
+    if (!changed.empty() && newVoters.contains(changed[0])) {
         const auto learner = m_progress.find(VmName{changed[0]});
-        const bool known = learner != m_progress.end() && learner->second.state == Progress::State::Replicate && learner->second.admitted;
-        if (!known || learner->second.match + m_options.maxPromotionLag < m_log.last()) {
+        const bool hasReplicated = learner != m_progress.end() && learner->second.state == Progress::State::Replicate && learner->second.admitted;
+        if (!hasReplicated || learner->second.matchIndex + m_options.maxPromotionLag < m_log.lastIndex()) {
             return Error{ErrorKind::Invalid, "'" + changed[0] + "' has not caught up: add it as a learner and wait"};
         }
     }
     v1::LogEntry entry;
     entry.set_term(m_vote.term);
-    entry.set_index(m_log.last() + 1);
+    entry.set_index(m_log.lastIndex() + 1);
     *entry.mutable_membership() = next;
     append(std::move(entry));
-    syncProgress(now);
-    return m_log.last();
+    updateProgressTable(now);
+    return m_log.lastIndex();
 }
 
 Effects Core::takeEffects()
 {
-    while (m_handedOut < m_commit) {
-        m_effects.committed.push_back(m_log.at(++m_handedOut));
+    while (m_lastReturnedIndex < m_commitIndex) {
+        m_effects.committed.push_back(m_log.at(++m_lastReturnedIndex));
     }
-    m_written = m_log.last();
-    // A message names the term; a term that a crash could take back must not be heard of, or it would be used twice.
+    m_writtenIndex = m_log.lastIndex();
+    // Messages carry the term. A term that is not durable must not reach other replicas: after a crash it would be used a second time.
     if (m_effects.writes.vote) {
-        m_effects.promises.insert(m_effects.promises.begin(), m_effects.messages.begin(), m_effects.messages.end());
+        m_effects.messagesAfterSync.insert(m_effects.messagesAfterSync.begin(), m_effects.messages.begin(), m_effects.messages.end());
         m_effects.messages.clear();
     }
     Effects effects;
@@ -217,7 +217,7 @@
 
 void Core::synced(TimePoint now)
 {
-    m_durable = m_written;
+    m_durableIndex = m_writtenIndex;
     if (m_role == Role::Leader) {
         maybeCommit(now);
     }
@@ -235,7 +235,7 @@
         tickLeader(now);
         return;
     }
-    askWhoLeads(now);
+    queryForLeader(now);
     if (now < m_electionDeadline) {
         return;
     }
@@ -243,21 +243,22 @@
     if (isVoter(m_options.self) && m_identity.admitted) {
         campaign(quorum() > 1, false, now);
     }
-    if (m_restarted) {
-        // The others' promises end at their own times after the restart: a pre-vote costs nothing and is soon asked for again.
-        m_electionDeadline = now + RestartedRetry + Duration(static_cast<Duration::rep>(m_random() % static_cast<std::uint64_t>(RestartedRetry.count())));
+    if (m_isFreshlyRestarted) {
+        // The other voters' promises expire at different times after the restart. A pre-vote is cheap, so the election is retried soon.
+        m_electionDeadline
+            = now + RestartElectionInterval + Duration(static_cast<Duration::rep>(m_random() % static_cast<std::uint64_t>(RestartElectionInterval.count())));
     }
 }
 
-/// Peers are trusted, but another version of the program may have a fault: what can't come from a replica that keeps to the rules is
-/// dropped as if it were lost, instead of bringing this replica down or its log out of order.
-bool Core::plausible(const v1::RaftMessage &message) const
+/// Returns whether a message can come from a replica that follows the protocol. Peers are trusted, but another version of the program may
+/// be faulty: an implausible message is dropped like a lost one, so that it can neither crash this replica nor corrupt its log.
+bool Core::isPlausible(const v1::RaftMessage &message) const
 {
     if (message.term() > MaxTerm || message.from() == m_options.self.value) {
         return false;
     }
     if (message.kind() == v1::RaftMessage::APPEND_REPLY && message.term() == m_vote.term && message.granted()) {
-        return message.match_index() <= m_log.last();
+        return message.match_index() <= m_log.lastIndex();
     }
     Index index = message.previous_index();
     Term term = message.previous_term();
@@ -273,7 +274,7 @@
 void Core::step(const v1::RaftMessage &message, TimePoint now)
 {
     using Kind = v1::RaftMessage;
-    if (!plausible(message)) {
+    if (!isPlausible(message)) {
         return;
     }
     const VmName from{message.from()};
@@ -282,16 +283,16 @@
         return;
     }
     if (message.kind() == Kind::PRE_VOTE_REPLY) {
-        noteNotLeading(message, now);
+        recordNotLeading(message, now);
     }
     if (message.term() > m_vote.term) {
         if (message.kind() == Kind::PRE_VOTE_REPLY && message.granted()) {
             handleVoteReply(message, now);
             return;
         }
-        // A removed or cut-off replica's election must not end a healthy leader's term: its symptom would be a leader change each time
-        // the replica comes back. Only an election that the leader itself asked for passes.
-        if (message.kind() == Kind::VOTE && !message.forced() && heardLeader(now)) {
+        // An election started by a removed or partitioned replica must not end a healthy leader's term; otherwise the leader would change
+        // each time that replica reconnects. Only an election that the leader itself requested is accepted.
+        if (message.kind() == Kind::VOTE && !message.forced() && hasRecentLeaderContact(now)) {
             return;
         }
         const bool fromLeader = message.kind() == Kind::APPEND || message.kind() == Kind::SNAPSHOT;
--- a/src/raft/core.h
+++ b/src/raft/core.h
@@ -13,67 +13,69 @@
 struct CoreOptions
 {
     VmName self;
-    /// A follower that heard no leader for one to two of these asks for an election; a leader that heard no quorum for one steps down.
+    /// A follower without contact to a leader for one to two timeouts starts an election; a leader without replies of a quorum for one
+    /// timeout steps down.
     Duration electionTimeout = std::chrono::milliseconds(750);
-    Duration heartbeat = std::chrono::milliseconds(100);
-    /// Commands in one message.
+    Duration heartbeatInterval = std::chrono::milliseconds(100);
+    /// Limit on the commands in one append message.
     std::size_t maxBatchBytes = 256 << 10;
-    /// Appends under way to one follower; more wait for its replies.
-    std::size_t maxInFlight = 16;
-    std::size_t chunkBytes = 256 << 10;
-    /// A chunk of a snapshot that was not answered for so long is taken for lost.
-    Duration chunkResend = std::chrono::seconds(1);
-    /// A learner this close to the end of the log has caught up.
+    /// Limit on unacknowledged appends to one follower; further entries wait for its replies.
+    std::size_t maxInFlightAppends = 16;
+    std::size_t maxChunkBytes = 256 << 10;
+    /// A snapshot chunk without a reply within this time is assumed lost and is resent.
+    Duration chunkTimeout = std::chrono::seconds(1);
+    /// A learner that is at most this many entries behind the end of the log counts as caught up.
     Index maxPromotionLag = 64;
 };
 
-/// What the caller must do, in this order: send messages, make writes durable, call synced(), send promises, apply.
+/// Work for the caller, in this order: send the messages, make the writes durable, call onSynced(), send messagesAfterSync, install the
+/// snapshot, apply the committed entries.
 struct Effects
 {
-    /// They promise nothing that is not durable already.
+    /// May be sent before the writes are durable.
     std::vector<v1::RaftMessage> messages;
     Writes writes;
-    /// Votes and acknowledgements: only after the writes are synced.
-    std::vector<v1::RaftMessage> promises;
-    /// Replaces the state before the entries are applied.
-    SnapshotPointer installed;
+    /// Votes, acknowledgements and every other message that depends on the writes: sent only after the writes are synced.
+    std::vector<v1::RaftMessage> messagesAfterSync;
+    /// Snapshot that replaces the applied state before the committed entries are applied; null when there is none.
+    SnapshotPointer installedSnapshot;
     std::vector<EntryPointer> committed;
 
     bool empty() const
     {
-        return messages.empty() && writes.empty() && promises.empty() && !installed && committed.empty();
+        return messages.empty() && writes.empty() && messagesAfterSync.empty() && !installedSnapshot && committed.empty();
     }
 };
 
-/// What the leader knows of one other member.
+/// The leader's view of one other member.
 struct Progress
 {
     enum class State {
-        Probe, ///< where its log agrees is not known: one empty append at a time
+        Probe, ///< the index up to which the logs agree is unknown: one empty append at a time
         Replicate, ///< appends are sent without waiting for replies
-        Snapshot, ///< it needs entries that are dropped: chunks of a snapshot are sent
+        Snapshot, ///< the member needs entries that were compacted away: it gets a snapshot in chunks
     };
     State state = State::Probe;
-    Index match = 0;
-    Index next = 1;
-    /// Last index of each append under way.
+    Index matchIndex = 0;
+    Index nextIndex = 1;
+    /// Last index of each unacknowledged append, oldest first.
     std::deque<Index> inFlight;
     SnapshotPointer snapshot;
     std::size_t snapshotOffset = 0;
-    /// When the chunk at the offset was sent last; none since the offset changed.
+    /// When the chunk at snapshotOffset was last sent; empty if it was not sent yet.
     std::optional<TimePoint> chunkSentAt;
-    TimePoint lastReply;
-    /// When the leader sent the newest round that the member has answered.
+    TimePoint lastReplyAt;
+    /// When the leader sent the newest heartbeat round that this member has answered.
     TimePoint ackedRoundSentAt = TimePoint::min();
     std::uint64_t incarnation = 0;
     bool admitted = true;
 };
 
-/// One replica of the log, pure: messages and the time come in, messages and writes come out.
+/// One replica of the log as a pure state machine: messages and the current time go in, messages and writes come out.
 ///
-/// Raft with these of its published extensions (chapters of the thesis): pre-vote (9.6), a leader that steps down without a quorum
-/// (6.2), lease reads (6.4.1), pipelined and batched appends (10.2), leadership transfer (3.10), snapshots (5), and membership change
-/// one server at a time (4) through learners that catch up first (4.2.1).
+/// Implements Raft with these published extensions (chapters of the thesis): pre-vote (9.6), a leader that steps down without a quorum
+/// (6.2), lease reads (6.4.1), pipelined and batched appends (10.2), leadership transfer (3.10), snapshots (5), and membership change one
+/// server at a time (4) through learners that catch up first (4.2.1).
 class Core
 {
 public:
@@ -88,21 +90,24 @@
 
     void step(const v1::RaftMessage &message, TimePoint now);
     void tick(TimePoint now);
-    /// Only on the leader: adds a command to the log. It may still be lost until it comes back as committed.
+    /// Appends a command to the log of the leader and returns its index; empty if this replica is not the leader. The command may still be
+    /// lost until it is committed.
     std::optional<Index> propose(std::string command);
-    /// Sends what was proposed since, as few messages: call before takeEffects().
+    /// Sends the entries proposed since the last call, batched into as few messages as possible: call before takeEffects().
     void replicate(TimePoint now);
-    /// Errors: Unavailable (not the leader, or a change is under way), Invalid (more than one voter differs, or a learner is behind).
+    /// Appends a membership change to the log. Errors: Unavailable (not the leader, or another change is in progress), Invalid (more than
+    /// one voter differs, or a learner has not caught up).
     Result<Index> changeMembership(const v1::Membership &next, TimePoint now);
-    /// Hands leadership over when the voter has the whole log; no commands are taken meanwhile. False: not the leader, or no such voter.
+    /// Transfers leadership to a voter once that voter has the whole log; commands are rejected meanwhile. Returns false when this replica
+    /// is not the leader or there is no such voter.
     bool transferLeadership(const VmName &to, TimePoint now);
-    /// The voter with the longest log.
+    /// Returns the voter with the longest log, a leadership transfer's best target.
     std::optional<VmName> bestSuccessor() const;
 
     Effects takeEffects();
-    /// What the last takeEffects() handed out to write is durable.
+    /// Call once the writes returned by the last takeEffects() are durable.
     void synced(TimePoint now);
-    /// A snapshot of the applied state is durable: entries up to keepAfter may go.
+    /// Call once a snapshot of the applied state is durable: discards log entries up to keepAfter.
     void compact(SnapshotPointer snapshot, Index keepAfter);
 
     Role role() const
@@ -117,9 +122,9 @@
     {
         return m_leader;
     }
-    Index commit() const
+    Index commitIndex() const
     {
-        return m_commit;
+        return m_commitIndex;
     }
     const MemoryLog &log() const
     {
@@ -129,28 +134,29 @@
     {
         return m_snapshot;
     }
-    /// The newest members in the log, committed or not: they are in force from the moment they are in the log.
+    /// The newest membership in the log, committed or not: a membership takes effect as soon as it is in the log.
     const v1::Membership &membership() const
     {
         return m_membership;
     }
-    /// The members that the entries up to an applied index add up to.
+    /// Returns the membership in effect at an applied index.
     v1::Membership membershipAt(Index index) const;
     bool membershipCommitted() const
     {
-        return m_membershipIndex <= m_commit;
+        return m_membershipIndex <= m_commitIndex;
     }
     const Identity &identity() const
     {
         return m_identity;
     }
-    /// By member; empty on all but the leader.
+    /// Progress by member; empty unless this replica is the leader.
     const std::map<VmName, Progress> &progress() const
     {
         return m_progress;
     }
-    /// No other leader can have committed anything: reads of the applied state are linearizable once all that is committed is applied.
-    bool leaseHeld(TimePoint now) const;
+    /// Returns whether the leader's lease is valid: no other leader can have committed anything, so reads of the applied state are
+    /// linearizable once all committed entries are applied.
+    bool holdsLease(TimePoint now) const;
 
 private:
     // core.cpp
@@ -160,50 +166,50 @@
     void becomeFollower(Term term, std::optional<VmName> leader, TimePoint now);
     void setVote(Term term, const VmName &votedFor);
     v1::RaftMessage message(v1::RaftMessage::Kind kind, const VmName &to) const;
-    void promise(v1::RaftMessage &&message);
+    void sendAfterSync(v1::RaftMessage &&message);
     void append(v1::LogEntry &&entry);
     void commitTo(Index index);
     void refreshMembership();
-    bool plausible(const v1::RaftMessage &message) const;
+    bool isPlausible(const v1::RaftMessage &message) const;
     void stepCurrentTerm(const v1::RaftMessage &message, TimePoint now);
 
     // coreelection.cpp
-    bool heardLeader(TimePoint now) const;
-    bool logUpToDate(const v1::RaftMessage &candidate) const;
+    bool hasRecentLeaderContact(TimePoint now) const;
+    bool isLogUpToDate(const v1::RaftMessage &candidate) const;
     void campaign(bool preVote, bool forced, TimePoint now);
     void handlePreVote(const v1::RaftMessage &request, TimePoint now);
     void handleVote(const v1::RaftMessage &request, TimePoint now);
     void handleVoteReply(const v1::RaftMessage &reply, TimePoint now);
-    void askForVotes(bool preVote, bool forced);
-    void askWhoLeads(TimePoint now);
-    void standSoon(TimePoint now);
-    void noteNotLeading(const v1::RaftMessage &reply, TimePoint now);
+    void requestVotes(bool preVote, bool forced);
+    void queryForLeader(TimePoint now);
+    void scheduleElection(TimePoint now);
+    void recordNotLeading(const v1::RaftMessage &reply, TimePoint now);
     void becomeLeader(TimePoint now);
 
     // coreleader.cpp
-    void broadcast(TimePoint now);
-    void syncProgress(TimePoint now);
+    void broadcastHeartbeat(TimePoint now);
+    void updateProgressTable(TimePoint now);
     void sendAppend(const VmName &to, bool heartbeat, TimePoint now);
-    void sendChunk(const VmName &to, Progress &progress, TimePoint now);
-    void sendMore(const VmName &to, TimePoint now);
-    void noteReply(Progress &progress, const v1::RaftMessage &reply, TimePoint now);
+    void sendSnapshotChunk(const VmName &to, Progress &progress, TimePoint now);
+    void sendPendingEntries(const VmName &to, TimePoint now);
+    void recordReply(Progress &progress, const v1::RaftMessage &reply, TimePoint now);
     void handleAppendReply(const v1::RaftMessage &reply, TimePoint now);
     void handleRejection(const VmName &from, Progress &progress, const v1::RaftMessage &reply, TimePoint now);
     void handleSnapshotReply(const v1::RaftMessage &reply, TimePoint now);
     void maybeCommit(TimePoint now);
     void tickLeader(TimePoint now);
-    bool quorumHeard(TimePoint now) const;
+    bool hasRecentQuorum(TimePoint now) const;
     TimePoint quorumRoundSentAt(TimePoint now) const;
     void continueTransfer(TimePoint now);
 
     // corefollower.cpp
     void handleAppend(const v1::RaftMessage &request, TimePoint now);
-    void acknowledge(const VmName &leader, std::uint64_t round, Index match);
+    void acknowledgeAppend(const VmName &leader, std::uint64_t round, Index match);
     void rejectAppend(const v1::RaftMessage &request);
     void handleSnapshot(const v1::RaftMessage &request, TimePoint now);
-    void install(const SnapshotPointer &snapshot);
+    void installSnapshot(const SnapshotPointer &snapshot);
 
-    struct Incoming
+    struct IncomingSnapshot
     {
         VmName from;
         Term leaderTerm = 0;
@@ -213,7 +219,7 @@
     {
         VmName to;
         TimePoint deadline;
-        bool ordered = false;
+        bool timeoutNowSent = false;
     };
 
     const CoreOptions m_options;
@@ -228,33 +234,33 @@
 
     Role m_role = Role::Follower;
     std::optional<VmName> m_leader;
-    Index m_commit = 0;
-    /// Committed and handed out.
-    Index m_handedOut = 0;
-    /// Handed out to write, and known to be durable.
-    Index m_written = 0;
-    Index m_durable = 0;
+    Index m_commitIndex = 0;
+    /// Last committed index that takeEffects() has returned.
+    Index m_lastReturnedIndex = 0;
+    /// Last index that takeEffects() has returned for writing, and the last index known to be durable.
+    Index m_writtenIndex = 0;
+    Index m_durableIndex = 0;
     TimePoint m_electionDeadline;
-    TimePoint m_lastLeaderContact;
-    /// Differs at each start of the process.
-    const std::uint64_t m_process;
-    /// Since the restart, no leader was heard and no vote given.
-    bool m_restarted = true;
-    /// Nobody can stand any more on a promise that this replica made before its restart.
-    bool m_promiseOver = false;
-    TimePoint m_askAgainAt{};
-    std::set<VmName> m_notLeading;
-    std::optional<Incoming> m_incoming;
+    TimePoint m_lastLeaderContactAt;
+    /// Random; differs at each start of the process.
+    const std::uint64_t m_processId;
+    /// True from a restart until this replica has heard from a leader or granted a vote.
+    bool m_isFreshlyRestarted = true;
+    /// Set once no leader can still rely on a promise to withhold votes that this replica made before its restart.
+    bool m_isVotePromiseOver = false;
+    TimePoint m_nextLeaderQueryAt{};
+    std::set<VmName> m_nonLeaders;
+    std::optional<IncomingSnapshot> m_incomingSnapshot;
 
-    bool m_forced = false;
+    bool m_isForcedElection = false;
     std::set<VmName> m_votes;
 
     std::map<VmName, Progress> m_progress;
     std::uint64_t m_round = 0;
-    /// When each recent round was sent, newest last.
-    std::deque<std::pair<std::uint64_t, TimePoint>> m_rounds;
-    TimePoint m_heartbeatDue;
-    Index m_termStart = 0;
+    /// Number and send time of each recent heartbeat round, newest last.
+    std::deque<std::pair<std::uint64_t, TimePoint>> m_recentRounds;
+    TimePoint m_nextHeartbeatAt;
+    Index m_termStartIndex = 0;
     std::optional<Transfer> m_transfer;
 
     Effects m_effects;
--- a/src/raft/coreleader.cpp
+++ b/src/raft/coreleader.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-constexpr std::size_t MaxRounds = 64;
+constexpr std::size_t MaxRecentRounds = 64;
 
-/// The value that at least "quorum" of the values reach.
+/// Returns the largest value that at least "quorum" of the values reach.
 template<typename T>
-T reachedBy(std::vector<T> values, std::size_t quorum)
+T quorumValue(std::vector<T> values, std::size_t quorum)
 {
     std::ranges::sort(values, std::greater<>());
     return values[quorum - 1];
@@ -20,23 +20,23 @@
 
 }
 
-/// Sends a round: heartbeats that carry what is missing, and prove by their replies that this replica still leads.
-void Core::broadcast(TimePoint now)
+/// Sends a heartbeat round. Heartbeats carry missing entries, and their replies prove that this replica still leads.
+void Core::broadcastHeartbeat(TimePoint now)
 {
-    m_heartbeatDue = now + m_options.heartbeat;
-    m_rounds.emplace_back(++m_round, now);
-    if (m_rounds.size() > MaxRounds) {
-        m_rounds.pop_front();
+    m_nextHeartbeatAt = now + m_options.heartbeatInterval;
+    m_recentRounds.emplace_back(++m_round, now);
+    if (m_recentRounds.size() > MaxRecentRounds) {
+        m_recentRounds.pop_front();
     }
-    syncProgress(now);
+    updateProgressTable(now);
     for (const auto &[member, progress] : m_progress) {
         sendAppend(member, true, now);
     }
     maybeCommit(now);
 }
 
-/// Brings the table of members in line with the membership, and sends what can be sent.
-void Core::syncProgress(TimePoint now)
+/// Updates the progress table to match the membership, and sends pending entries.
+void Core::updateProgressTable(TimePoint now)
 {
     std::set<VmName> members;
     for (const std::string &voter : m_membership.voters()) {
@@ -48,15 +48,15 @@
     members.erase(m_options.self);
     std::erase_if(m_progress, [&members](const auto &item) { return !members.contains(item.first); });
     for (const VmName &member : members) {
-        m_progress.try_emplace(member, Progress{.next = m_log.last() + 1, .lastReply = now});
-        sendMore(member, now);
+        m_progress.try_emplace(member, Progress{.nextIndex = m_log.lastIndex() + 1, .lastReplyAt = now});
+        sendPendingEntries(member, now);
     }
 }
 
-void Core::sendMore(const VmName &to, TimePoint now)
+void Core::sendPendingEntries(const VmName &to, TimePoint now)
 {
     const Progress &progress = m_progress.at(to);
-    while (progress.state == Progress::State::Replicate && progress.next <= m_log.last() && progress.inFlight.size() < m_options.maxInFlight) {
+    while (progress.state == Progress::State::Replicate && progress.nextIndex <= m_log.lastIndex() && progress.inFlight.size() < m_options.maxInFlightAppends) {
         sendAppend(to, false, now);
     }
 }
@@ -64,13 +64,13 @@
 void Core::sendAppend(const VmName &to, bool heartbeat, TimePoint now)
 {
     Progress &progress = m_progress.at(to);
-    // Appends to a follower that went silent would fill the transport: it gets probes until it answers.
-    if (progress.state == Progress::State::Replicate && now - progress.lastReply > m_options.electionTimeout) {
+    // Appends to a follower that has timed out would fill the transport's queue, so it gets probes until it replies.
+    if (progress.state == Progress::State::Replicate && now - progress.lastReplyAt > m_options.electionTimeout) {
         progress.state = Progress::State::Probe;
-        progress.next = progress.match + 1;
+        progress.nextIndex = progress.matchIndex + 1;
         progress.inFlight.clear();
     }
-    if (progress.state != Progress::State::Snapshot && progress.next <= m_log.base()) {
+    if (progress.state != Progress::State::Snapshot && progress.nextIndex <= m_log.baseIndex()) {
         progress.state = Progress::State::Snapshot;
         progress.snapshot = m_snapshot;
         progress.snapshotOffset = 0;
@@ -79,29 +79,30 @@
     }
     if (progress.state == Progress::State::Snapshot) {
         if (heartbeat) {
-            sendChunk(to, progress, now);
+            sendSnapshotChunk(to, progress, now);
         }
         return;
     }
     v1::RaftMessage request = message(v1::RaftMessage::APPEND, to);
-    request.set_previous_index(progress.next - 1);
-    request.set_previous_term(*m_log.term(progress.next - 1));
-    request.set_commit(m_commit);
+    request.set_previous_index(progress.nextIndex - 1);
+    request.set_previous_term(*m_log.termAt(progress.nextIndex - 1));
+    request.set_commit(m_commitIndex);
     request.set_round(m_round);
-    if (progress.state == Progress::State::Replicate && progress.inFlight.size() < m_options.maxInFlight) {
-        for (const EntryPointer &entry : m_log.from(progress.next, m_options.maxBatchBytes)) {
+    if (progress.state == Progress::State::Replicate && progress.inFlight.size() < m_options.maxInFlightAppends) {
+        for (const EntryPointer &entry : m_log.entriesFrom(progress.nextIndex, m_options.maxBatchBytes)) {
             *request.add_entries() = *entry;
         }
         if (request.entries_size() > 0) {
-            progress.next += static_cast<Index>(request.entries_size());
-            progress.inFlight.push_back(progress.next - 1);
+            progress.nextIndex += static_cast<Index>(request.entries_size());
+            progress.inFlight.push_back(progress.nextIndex - 1);
         }
     }
     m_effects.messages.push_back(std::move(request));
 }
 
-/// One chunk at a time. Heartbeats meanwhile are empty, as they are for a silent follower, so that a slow link has to carry each chunk once.
-void Core::sendChunk(const VmName &to, Progress &progress, TimePoint now)
+/// Sends one chunk at a time. While a chunk is in flight or the follower has timed out, the message carries no data, so that a slow link
+/// carries each chunk only once.
+void Core::sendSnapshotChunk(const VmName &to, Progress &progress, TimePoint now)
 {
     const Snapshot &snapshot = *progress.snapshot;
     v1::RaftMessage request = message(v1::RaftMessage::SNAPSHOT, to);
@@ -109,11 +110,11 @@
     request.set_snapshot_index(snapshot.index);
     request.set_snapshot_term(snapshot.term);
     request.set_snapshot_offset(progress.snapshotOffset);
-    const bool isSilent = now - progress.lastReply > m_options.electionTimeout;
-    const bool isUnderWay = progress.chunkSentAt && now - *progress.chunkSentAt < m_options.chunkResend;
-    if (!isSilent && !isUnderWay) {
+    const bool isTimedOut = now - progress.lastReplyAt > m_options.electionTimeout;
+    const bool isInFlight = progress.chunkSentAt && now - *progress.chunkSentAt < m_options.chunkTimeout;
+    if (!isTimedOut && !isInFlight) {
         progress.chunkSentAt = now;
-        const std::size_t size = std::min(m_options.chunkBytes, snapshot.state.size() - progress.snapshotOffset);
+        const std::size_t size = std::min(m_options.maxChunkBytes, snapshot.state.size() - progress.snapshotOffset);
         request.set_snapshot_chunk(snapshot.state.substr(progress.snapshotOffset, size));
         request.set_snapshot_last(progress.snapshotOffset + size == snapshot.state.size());
         *request.mutable_snapshot_membership() = snapshot.membership;
@@ -121,17 +122,17 @@
     m_effects.messages.push_back(std::move(request));
 }
 
-void Core::noteReply(Progress &progress, const v1::RaftMessage &reply, TimePoint now)
+void Core::recordReply(Progress &progress, const v1::RaftMessage &reply, TimePoint now)
 {
-    // Another data folder than before: what this follower acknowledged is gone, and its log must be found anew.
-    // Without that, the leader would take its rejections for late ones and never send it anything again.
+    // The follower has a different data folder than before: the entries it acknowledged are lost, and the matching index must be found
+    // anew. Otherwise the leader would treat its rejections as late ones and never send it anything again.
     if (progress.incarnation != 0 && progress.incarnation != reply.incarnation()) {
-        progress = Progress{.next = m_log.last() + 1};
+        progress = Progress{.nextIndex = m_log.lastIndex() + 1};
     }
     progress.incarnation = reply.incarnation();
     progress.admitted = reply.admitted();
-    progress.lastReply = now;
-    for (const auto &[round, sentAt] : m_rounds) {
+    progress.lastReplyAt = now;
+    for (const auto &[round, sentAt] : m_recentRounds) {
         if (round == reply.round()) {
             progress.ackedRoundSentAt = std::max(progress.ackedRoundSentAt, sentAt);
         }
@@ -146,48 +147,49 @@
         return;
     }
     Progress &progress = known->second;
-    noteReply(progress, reply, now);
+    recordReply(progress, reply, now);
     if (!reply.granted()) {
         handleRejection(from, progress, reply, now);
         return;
     }
-    progress.match = std::max(progress.match, reply.match_index());
-    progress.next = std::max(progress.next, progress.match + 1);
-    while (!progress.inFlight.empty() && progress.inFlight.front() <= progress.match) {
+    progress.matchIndex = std::max(progress.matchIndex, reply.match_index());
+    progress.nextIndex = std::max(progress.nextIndex, progress.matchIndex + 1);
+    while (!progress.inFlight.empty() && progress.inFlight.front() <= progress.matchIndex) {
         progress.inFlight.pop_front();
     }
-    const bool installed = progress.state == Progress::State::Snapshot && progress.match >= progress.snapshot->index;
-    if (progress.state == Progress::State::Probe || installed) {
+    const bool isInstalled = progress.state == Progress::State::Snapshot && progress.matchIndex >= progress.snapshot->index;
+    if (progress.state == Progress::State::Probe || isInstalled) {
         progress.state = Progress::State::Replicate;
         progress.snapshot.reset();
         progress.inFlight.clear();
-        progress.next = progress.match + 1;
+        progress.nextIndex = progress.matchIndex + 1;
     }
     maybeCommit(now);
     if (m_role == Role::Leader && m_progress.contains(from)) {
-        sendMore(from, now);
+        sendPendingEntries(from, now);
         continueTransfer(now);
     }
 }
 
-/// The follower's log doesn't hold the entry before the ones sent. Its hint skips a whole term at a time (thesis 3.5).
+/// Handles a rejection: the follower's log lacks the entry before those sent. The follower's hint skips a whole term at a time (thesis
+/// 3.5).
 void Core::handleRejection(const VmName &from, Progress &progress, const v1::RaftMessage &reply, TimePoint now)
 {
     const Index rejected = reply.previous_index();
-    if (progress.state == Progress::State::Snapshot || rejected <= progress.match) {
+    if (progress.state == Progress::State::Snapshot || rejected <= progress.matchIndex) {
         return;
     }
     if (progress.state == Progress::State::Replicate) {
         progress.state = Progress::State::Probe;
         progress.inFlight.clear();
-    } else if (rejected != progress.next - 1) {
+    } else if (rejected != progress.nextIndex - 1) {
         return;
     }
-    Index agreed = std::min({reply.match_index(), rejected - 1, m_log.last()});
-    while (agreed > progress.match && agreed > m_log.base() && *m_log.term(agreed) > reply.previous_term()) {
-        --agreed;
+    Index lastAgreed = std::min({reply.match_index(), rejected - 1, m_log.lastIndex()});
+    while (lastAgreed > progress.matchIndex && lastAgreed > m_log.baseIndex() && *m_log.termAt(lastAgreed) > reply.previous_term()) {
+        --lastAgreed;
     }
-    progress.next = std::max(agreed, progress.match) + 1;
+    progress.nextIndex = std::max(lastAgreed, progress.matchIndex) + 1;
     sendAppend(from, false, now);
 }
 
@@ -199,7 +201,7 @@
         return;
     }
     Progress &progress = known->second;
-    noteReply(progress, reply, now);
+    recordReply(progress, reply, now);
     if (progress.state != Progress::State::Snapshot || reply.snapshot_index() != progress.snapshot->index) {
         return;
     }
@@ -208,9 +210,9 @@
         progress.chunkSentAt.reset();
     }
     progress.snapshotOffset = std::min<std::size_t>(reply.snapshot_offset(), progress.snapshot->state.size());
-    // What stands still is sent again by the next heartbeat; answering it here would double the stream with each repeated reply.
+    // A chunk that made no progress is resent by the next heartbeat. Resending it here would double the stream with each repeated reply.
     if (advanced) {
-        sendChunk(from, progress, now);
+        sendSnapshotChunk(from, progress, now);
     }
 }
 
@@ -218,17 +220,17 @@
 {
     std::vector<Index> matches;
     for (const std::string &voter : m_membership.voters()) {
-        matches.push_back(voter == m_options.self.value ? m_durable : m_progress.at(VmName{voter}).match);
+        matches.push_back(voter == m_options.self.value ? m_durableIndex : m_progress.at(VmName{voter}).matchIndex);
     }
-    const Index reached = reachedBy(matches, quorum());
-    // Entries of earlier terms are committed only together with one of this term (thesis 3.6.2).
-    if (reached <= m_commit || *m_log.term(reached) != m_vote.term) {
+    const Index quorumIndex = quorumValue(matches, quorum());
+    // Entries of earlier terms are committed only together with an entry of this term (thesis 3.6.2).
+    if (quorumIndex <= m_commitIndex || *m_log.termAt(quorumIndex) != m_vote.term) {
         return;
     }
-    commitTo(reached);
-    const bool removed = membershipCommitted() && !isVoter(m_options.self);
-    if (removed) {
-        broadcast(now);
+    commitTo(quorumIndex);
+    const bool isRemoved = membershipCommitted() && !isVoter(m_options.self);
+    if (isRemoved) {
+        broadcastHeartbeat(now);
         becomeFollower(m_vote.term, {}, now);
     }
 }
@@ -239,41 +241,42 @@
     for (const std::string &voter : m_membership.voters()) {
         times.push_back(voter == m_options.self.value ? now : m_progress.at(VmName{voter}).ackedRoundSentAt);
     }
-    return reachedBy(times, quorum());
+    return quorumValue(times, quorum());
 }
 
-/// A quorum that answered a round votes for nobody for an election timeout after it got the round, so nobody else can lead until then.
-/// Clocks may differ in rate: the leader takes nine tenths of it, which holds while no clock runs more than a tenth faster than another.
-bool Core::leaseHeld(TimePoint now) const
+/// A quorum that answered a round grants no vote for an election timeout after receiving the round, so no other replica can become leader
+/// until then. Clocks may run at different rates: the leader uses nine tenths of the timeout, which is safe while no clock runs more than a
+/// tenth faster than another.
+bool Core::holdsLease(TimePoint now) const
 {
-    if (m_role != Role::Leader || m_transfer || m_commit < m_termStart) {
+    if (m_role != Role::Leader || m_transfer || m_commitIndex < m_termStartIndex) {
         return false;
     }
     const TimePoint sentAt = quorumRoundSentAt(now);
     return sentAt != TimePoint::min() && now < sentAt + m_options.electionTimeout * 9 / 10;
 }
 
-bool Core::quorumHeard(TimePoint now) const
+bool Core::hasRecentQuorum(TimePoint now) const
 {
-    std::size_t heard = 0;
+    std::size_t reachable = 0;
     for (const std::string &voter : m_membership.voters()) {
-        const bool recent = voter == m_options.self.value || now - m_progress.at(VmName{voter}).lastReply <= m_options.electionTimeout;
-        heard += recent ? 1 : 0;
+        const bool isRecent = voter == m_options.self.value || now - m_progress.at(VmName{voter}).lastReplyAt <= m_options.electionTimeout;
+        reachable += isRecent ? 1 : 0;
     }
-    return heard >= quorum();
+    return reachable >= quorum();
 }
 
 void Core::tickLeader(TimePoint now)
 {
-    // A leader cut off from its quorum would go on taking commands that can never be committed; so it steps down. A transfer
-    // that did not end in time does the same, since its order to start an election may still be on the way and void the lease.
+    // A leader cut off from its quorum would keep accepting commands that can never be committed, so it steps down. It also steps down when
+    // a transfer misses its deadline: the TIMEOUT_NOW message may still arrive, and the election it starts would void the lease.
     const bool transferFailed = m_transfer && now >= m_transfer->deadline;
-    if (!quorumHeard(now) || transferFailed) {
+    if (!hasRecentQuorum(now) || transferFailed) {
         becomeFollower(m_vote.term, {}, now);
         return;
     }
-    if (now >= m_heartbeatDue) {
-        broadcast(now);
+    if (now >= m_nextHeartbeatAt) {
+        broadcastHeartbeat(now);
     }
 }
 
@@ -284,17 +287,17 @@
         return false;
     }
     m_transfer = Transfer{.to = to, .deadline = now + m_options.electionTimeout};
-    sendMore(to, now);
+    sendPendingEntries(to, now);
     continueTransfer(now);
     return true;
 }
 
 void Core::continueTransfer(TimePoint /*now*/)
 {
-    if (!m_transfer || m_transfer->ordered || m_progress.at(m_transfer->to).match < m_log.last()) {
+    if (!m_transfer || m_transfer->timeoutNowSent || m_progress.at(m_transfer->to).matchIndex < m_log.lastIndex()) {
         return;
     }
-    m_transfer->ordered = true;
+    m_transfer->timeoutNowSent = true;
     m_effects.messages.push_back(message(v1::RaftMessage::TIMEOUT_NOW, m_transfer->to));
 }
 
@@ -303,7 +306,7 @@
     std::optional<VmName> best;
     for (const auto &[member, progress] : m_progress) {
         const bool eligible = isVoter(member) && progress.admitted;
-        if (eligible && (!best || progress.match > m_progress.at(*best).match)) {
+        if (eligible && (!best || progress.matchIndex > m_progress.at(*best).matchIndex)) {
             best = member;
         }
     }
--- a/src/raft/filestorage.h
+++ b/src/raft/filestorage.h
@@ -14,13 +14,13 @@
 
 /// Durable storage in one folder:
 ///
-///   identity              who wrote the folder (StoredIdentity)
+///   identity              identity of the data folder (StoredIdentity)
 ///   vote                  StoredVote
 ///   snapshot              StoredSnapshot
 ///   NNNNNNNNNN.segment    the log, in the order of the numbers
 ///
-/// The first three are one frame each and replaced by rename. Segments are only appended to: a batch that starts before the end of the
-/// log replaces what was there, so that nothing acknowledged is ever overwritten in place.
+/// The first three files hold one frame each and are replaced by rename. Segments are append-only: a batch that starts before the end of
+/// the log supersedes the entries from there on, so that acknowledged bytes are never overwritten in position.
 template<FileSystem F>
 class FileStorage
 {
@@ -31,8 +31,8 @@
     {
     }
 
-    /// Reads the folder and cuts off a torn write. The snapshot is null, when the folder is new or no cluster was formed yet. A new
-    /// folder gets the incarnation given. Error: Storage.
+    /// Reads the folder and truncates a torn write. The snapshot is null when the folder is new or no cluster was formed yet. A new folder
+    /// gets the given incarnation. Error: Storage.
     Result<Recovered> open(std::uint64_t newIncarnation);
     Result<Done> persist(const Writes &writes);
     Result<Done> saveSnapshot(const SnapshotPointer &snapshot, Index keepAfter);
@@ -48,28 +48,28 @@
     };
 
     template<typename Message>
-    Result<std::optional<Message>> readOne(const std::string &name);
+    Result<std::optional<Message>> readRecord(const std::string &name);
     template<typename Message>
-    Result<Done> replaceOne(const std::string &name, const Message &message);
+    Result<Done> replaceRecord(const std::string &name, const Message &message);
     Result<Done> readSegments(Recovered &recovered);
-    Result<Done> readSegment(const std::string &path, bool last, Recovered &recovered);
-    Result<Done> checkAgainstSnapshot(Recovered &recovered);
+    Result<Done> readSegment(const std::string &path, bool isLast, Recovered &recovered);
+    Result<Done> reconcileWithSnapshot(Recovered &recovered);
     Result<Done> appendEntries(const std::vector<EntryPointer> &entries);
     Result<Done> removeSegments(std::size_t count);
     Result<Done> writeSnapshot(const Snapshot &snapshot);
-    std::string nextPath();
+    std::string nextSegmentPath();
 
     F &m_files;
     const std::string m_folder;
     std::vector<Segment> m_segments;
-    std::uint64_t m_nextNumber = 1;
-    /// The term of each entry that the segments hold, for the headers of new segments.
-    std::map<Index, Term> m_terms;
+    std::uint64_t m_nextSegmentNumber = 1;
+    /// Term of each entry in the segments, for the headers of new segments.
+    std::map<Index, Term> m_entryTerms;
 };
 
 template<FileSystem F>
 template<typename Message>
-Result<std::optional<Message>> FileStorage<F>::readOne(const std::string &name)
+Result<std::optional<Message>> FileStorage<F>::readRecord(const std::string &name)
 {
     const std::string path = m_folder + "/" + name;
     const auto names = m_files.list(m_folder);
@@ -83,26 +83,27 @@
     if (!ok(bytes)) {
         return errorOf(bytes);
     }
-    // The file was synced before it got its name, so it can't be torn.
+    // The file was synced before it was renamed to this name, so it can't be torn.
     const std::optional<Frame> frame = decodeFrame(valueOf(bytes), 0);
     Message message;
     if (!frame || frame->end != valueOf(bytes).size() || !message.ParseFromArray(frame->payload.data(), static_cast<int>(frame->payload.size()))) {
-        return damaged(path, 0, "its checksum doesn't hold");
+        return damagedError(path, 0, "its checksum doesn't match");
     }
     return std::optional<Message>(std::move(message));
 }
 
-/// The new content is synced under another name first: a crash leaves the old or the new file, never a mixture.
+/// Writes and syncs the new content under a temporary name, then renames it: a crash leaves either the old or the new file, never a
+/// mixture.
 template<FileSystem F>
 template<typename Message>
-Result<Done> FileStorage<F>::replaceOne(const std::string &name, const Message &message)
+Result<Done> FileStorage<F>::replaceRecord(const std::string &name, const Message &message)
 {
     const std::string path = m_folder + "/" + name;
-    const std::string fresh = path + ".new";
+    const std::string temporaryPath = path + ".new";
     const std::string bytes = encodeFrame(message.SerializeAsString());
-    Result<Done> done = m_files.write(fresh, 0, bytes);
+    Result<Done> done = m_files.write(temporaryPath, 0, bytes);
     if (ok(done)) {
-        done = m_files.rename(fresh, path);
+        done = m_files.rename(temporaryPath, path);
     }
     if (ok(done)) {
         done = m_files.syncFolder(m_folder);
@@ -117,9 +118,9 @@
         return errorOf(opened);
     }
     Recovered recovered;
-    const auto identity = readOne<v1::StoredIdentity>("identity");
-    const auto vote = readOne<v1::StoredVote>("vote");
-    const auto snapshot = readOne<v1::StoredSnapshot>("snapshot");
+    const auto identity = readRecord<v1::StoredIdentity>("identity");
+    const auto vote = readRecord<v1::StoredVote>("vote");
+    const auto snapshot = readRecord<v1::StoredSnapshot>("snapshot");
     for (const Error *error : {std::get_if<Error>(&identity), std::get_if<Error>(&vote), std::get_if<Error>(&snapshot)}) {
         if (error) {
             return *error;
@@ -136,17 +137,17 @@
     if (auto read = readSegments(recovered); !ok(read)) {
         return errorOf(read);
     }
-    const Term newest = std::max(recovered.entries.empty() ? 0 : recovered.entries.back()->term(), recovered.snapshot ? recovered.snapshot->term : 0);
-    if (newest > recovered.vote.term) {
-        return damaged(m_folder + "/vote", 0, "it is older than the log");
+    const Term newestTerm = std::max(recovered.entries.empty() ? 0 : recovered.entries.back()->term(), recovered.snapshot ? recovered.snapshot->term : 0);
+    if (newestTerm > recovered.vote.term) {
+        return damagedError(m_folder + "/vote", 0, "its term is older than the log");
     }
     if (valueOf(identity)) {
         recovered.identity = Identity{.incarnation = valueOf(identity)->incarnation(), .admitted = valueOf(identity)->admitted()};
         return recovered;
     }
-    // Without an identity nothing was ever promised from this folder; with a vote or a log, the file was removed by hand.
+    // Without an identity, the folder never made a promise. If it has a vote or a log, somebody has removed the identity file.
     if (valueOf(vote) || valueOf(snapshot) || !m_segments.empty()) {
-        return damaged(m_folder + "/identity", 0, "the file is missing");
+        return damagedError(m_folder + "/identity", 0, "the file is missing");
     }
     recovered.identity.incarnation = newIncarnation;
     if (const auto done = persist(Writes{.identity = recovered.identity}); !ok(done)) {
@@ -167,7 +168,7 @@
         if (!name.ends_with(".segment")) {
             continue;
         }
-        m_nextNumber = std::strtoull(name.c_str(), nullptr, 10) + 1;
+        m_nextSegmentNumber = std::strtoull(name.c_str(), nullptr, 10) + 1;
         paths.push_back(m_folder + "/" + name);
     }
     for (const std::string &path : paths) {
@@ -175,11 +176,11 @@
             return read;
         }
     }
-    return checkAgainstSnapshot(recovered);
+    return reconcileWithSnapshot(recovered);
 }
 
 template<FileSystem F>
-Result<Done> FileStorage<F>::readSegment(const std::string &path, bool last, Recovered &recovered)
+Result<Done> FileStorage<F>::readSegment(const std::string &path, bool isLast, Recovered &recovered)
 {
     const auto bytes = m_files.read(path);
     if (!ok(bytes)) {
@@ -190,17 +191,18 @@
         return errorOf(content);
     }
     const SegmentContent &segment = valueOf(content);
-    const bool holdsNothing = !segment.header || segment.batches.empty();
-    if (!last && (holdsNothing || segment.wholeBytes != valueOf(bytes).size())) {
-        return damaged(path, segment.wholeBytes, "a later segment was written");
+    const bool isEmpty = !segment.header || segment.batches.empty();
+    if (!isLast && (isEmpty || segment.wholeBytes != valueOf(bytes).size())) {
+        return damagedError(path, segment.wholeBytes, "a later segment was written");
     }
-    // A crash came before the first batch was whole. The header may name an index that the next batch doesn't start with; kept, it would let
-    // a later removal of older segments take entries along that are still needed.
-    if (holdsNothing) {
+    // A crash came before the first batch was complete. The header may name an index that the next batch doesn't start with; if the file
+    // were kept, a later removal of older segments could delete entries that are still needed.
+    if (isEmpty) {
         Result<Done> removed = m_files.remove(path);
         return ok(removed) ? m_files.syncFolder(m_folder) : removed;
     }
-    // A segment that reaches back before the start was left by a crash while older ones were removed: all before it was to go.
+    // A segment that starts at or before the base was left by a crash during the removal of older segments: everything before it was to be
+    // removed.
     if (m_segments.empty() || segment.header->firstIndex <= recovered.baseIndex) {
         recovered.entries.clear();
         recovered.baseIndex = segment.header->firstIndex - 1;
@@ -209,7 +211,7 @@
     for (const v1::StoredBatch &batch : segment.batches) {
         const Index first = batch.entries(0).index();
         if (first <= recovered.baseIndex || first > recovered.baseIndex + recovered.entries.size() + 1) {
-            return damaged(path, 0, "entry " + std::to_string(first) + " doesn't follow the one before it");
+            return damagedError(path, 0, "entry " + std::to_string(first) + " doesn't follow the one before it");
         }
         recovered.entries.resize(first - recovered.baseIndex - 1);
         for (const v1::LogEntry &entry : batch.entries()) {
@@ -217,27 +219,27 @@
         }
     }
     m_segments.push_back(Segment{.path = path, .header = *segment.header, .size = segment.wholeBytes});
-    // The rest is a write that was never acknowledged.
+    // The remaining bytes are a write that was never acknowledged.
     return segment.wholeBytes == valueOf(bytes).size() ? Result<Done>(Done{}) : m_files.truncate(path, segment.wholeBytes);
 }
 
-/// A crash in the middle of installing a snapshot leaves the log that the snapshot replaces.
+/// Removes a log that contradicts the snapshot: a crash during the installation of a snapshot leaves the log that the snapshot replaces.
 template<FileSystem F>
-Result<Done> FileStorage<F>::checkAgainstSnapshot(Recovered &recovered)
+Result<Done> FileStorage<F>::reconcileWithSnapshot(Recovered &recovered)
 {
     const Index snapshotIndex = recovered.snapshot ? recovered.snapshot->index : 0;
     const Term snapshotTerm = recovered.snapshot ? recovered.snapshot->term : 0;
     if (m_segments.empty() || recovered.baseIndex > snapshotIndex) {
         if (!m_segments.empty()) {
-            return damaged(m_segments.front().path, 0, "the entries between the snapshot and this file are missing");
+            return damagedError(m_segments.front().path, 0, "the entries between the snapshot and this file are missing");
         }
         recovered.baseIndex = snapshotIndex;
         recovered.baseTerm = snapshotTerm;
     }
-    const Index place = snapshotIndex - recovered.baseIndex;
-    const bool covered = place <= recovered.entries.size();
-    const Term heldTerm = !covered ? 0 : place == 0 ? recovered.baseTerm : recovered.entries[place - 1]->term();
-    if (!covered || heldTerm != snapshotTerm) {
+    const Index position = snapshotIndex - recovered.baseIndex;
+    const bool coversSnapshot = position <= recovered.entries.size();
+    const Term logTerm = !coversSnapshot ? 0 : position == 0 ? recovered.baseTerm : recovered.entries[position - 1]->term();
+    if (!coversSnapshot || logTerm != snapshotTerm) {
         if (auto removed = removeSegments(m_segments.size()); !ok(removed)) {
             return removed;
         }
@@ -245,9 +247,9 @@
         recovered.baseIndex = snapshotIndex;
         recovered.baseTerm = snapshotTerm;
     }
-    m_terms[recovered.baseIndex] = recovered.baseTerm;
+    m_entryTerms[recovered.baseIndex] = recovered.baseTerm;
     for (const EntryPointer &entry : recovered.entries) {
-        m_terms[entry->index()] = entry->term();
+        m_entryTerms[entry->index()] = entry->term();
     }
     return Done{};
 }
@@ -260,20 +262,20 @@
         v1::StoredIdentity identity;
         identity.set_incarnation(writes.identity->incarnation);
         identity.set_admitted(writes.identity->admitted);
-        done = replaceOne("identity", identity);
+        done = replaceRecord("identity", identity);
     }
     if (ok(done) && writes.vote) {
         v1::StoredVote vote;
         vote.set_term(writes.vote->term);
         vote.set_voted_for(writes.vote->votedFor.value);
-        done = replaceOne("vote", vote);
+        done = replaceRecord("vote", vote);
     }
     if (ok(done) && writes.snapshot) {
         done = writeSnapshot(*writes.snapshot);
     }
     if (ok(done) && writes.snapshot && writes.resetLog) {
         done = removeSegments(m_segments.size());
-        m_terms = {{writes.snapshot->index, writes.snapshot->term}};
+        m_entryTerms = {{writes.snapshot->index, writes.snapshot->term}};
     }
     if (ok(done) && !writes.entries.empty()) {
         done = appendEntries(writes.entries);
@@ -289,14 +291,14 @@
     stored.set_term(snapshot.term);
     *stored.mutable_membership() = snapshot.membership;
     stored.set_state(snapshot.state);
-    return replaceOne("snapshot", stored);
+    return replaceRecord("snapshot", stored);
 }
 
 template<FileSystem F>
-std::string FileStorage<F>::nextPath()
+std::string FileStorage<F>::nextSegmentPath()
 {
     std::array<char, 32> name{};
-    std::snprintf(name.data(), name.size(), "/%010llu.segment", static_cast<unsigned long long>(m_nextNumber++));
+    std::snprintf(name.data(), name.size(), "/%010llu.segment", static_cast<unsigned long long>(m_nextSegmentNumber++));
     return m_folder + name.data();
 }
 
@@ -309,34 +311,35 @@
     }
     const Index first = entries.front()->index();
     std::string bytes = encodeFrame(batch.SerializeAsString());
-    // A segment holds nothing before its first index, or a recovery after older segments are dropped would miss the start.
-    const bool fresh = m_segments.empty() || m_segments.back().size >= MaxSegmentBytes || first < m_segments.back().header.firstIndex;
-    if (fresh) {
-        const SegmentHeader header{.firstIndex = first, .previousTerm = m_terms[first - 1]};
-        m_segments.push_back(Segment{.path = nextPath(), .header = header});
+    // A segment holds no entry before its first index; otherwise recovery would miss the start of the log after older segments are removed.
+    const bool startsSegment = m_segments.empty() || m_segments.back().size >= MaxSegmentBytes || first < m_segments.back().header.firstIndex;
+    if (startsSegment) {
+        const SegmentHeader header{.firstIndex = first, .previousTerm = m_entryTerms[first - 1]};
+        m_segments.push_back(Segment{.path = nextSegmentPath(), .header = header});
         bytes.insert(0, encodeHeader(header));
     }
     Segment &segment = m_segments.back();
     Result<Done> done = m_files.write(segment.path, segment.size, bytes);
-    if (ok(done) && fresh) {
+    if (ok(done) && startsSegment) {
         done = m_files.syncFolder(m_folder);
     }
     segment.size += bytes.size();
-    m_terms.erase(m_terms.lower_bound(first), m_terms.end());
+    m_entryTerms.erase(m_entryTerms.lower_bound(first), m_entryTerms.end());
     for (const EntryPointer &entry : entries) {
-        m_terms[entry->index()] = entry->term();
+        m_entryTerms[entry->index()] = entry->term();
     }
     return done;
 }
 
-/// Newest first when all go, so that a crash leaves the start of the log; oldest first when the start is dropped.
+/// Removes the first segments. When all are removed, the newestTerm goes first, so that a crash leaves the start of the log; otherwise the
+/// oldest goes first.
 template<FileSystem F>
 Result<Done> FileStorage<F>::removeSegments(std::size_t count)
 {
-    const bool all = count == m_segments.size();
+    const bool removesAll = count == m_segments.size();
     for (std::size_t i = 0; i < count; ++i) {
-        const std::size_t place = all ? count - 1 - i : i;
-        if (auto removed = m_files.remove(m_segments[place].path); !ok(removed)) {
+        const std::size_t position = removesAll ? count - 1 - i : i;
+        if (auto removed = m_files.remove(m_segments[position].path); !ok(removed)) {
             return removed;
         }
     }
@@ -350,17 +353,17 @@
     if (auto written = writeSnapshot(*snapshot); !ok(written)) {
         return written;
     }
-    // The log may start at a segment that is old enough and that no later one reaches back beyond.
+    // The log may start at a segment that begins no later than keepAfter + 1, provided that no later segment starts further back.
     std::size_t count = 0;
-    Index reachedBack = keepAfter + 1;
-    for (std::size_t place = m_segments.size(); place-- > 0;) {
-        if (m_segments[place].header.firstIndex <= reachedBack) {
-            reachedBack = m_segments[place].header.firstIndex;
-            count = std::max(count, place);
+    Index earliestIndex = keepAfter + 1;
+    for (std::size_t position = m_segments.size(); position-- > 0;) {
+        if (m_segments[position].header.firstIndex <= earliestIndex) {
+            earliestIndex = m_segments[position].header.firstIndex;
+            count = std::max(count, position);
         }
     }
     if (count > 0) {
-        m_terms.erase(m_terms.begin(), m_terms.lower_bound(m_segments[count].header.firstIndex - 1));
+        m_entryTerms.erase(m_entryTerms.begin(), m_entryTerms.lower_bound(m_segments[count].header.firstIndex - 1));
     }
     return removeSegments(count);
 }
--- a/src/raft/filesystem.cpp
+++ b/src/raft/filesystem.cpp
@@ -18,28 +18,28 @@
 namespace
 {
 
-Error failed(const std::string &what, const std::string &path)
+Error systemError(const std::string &operation, const std::string &path)
 {
-    return Error{ErrorKind::Storage, "can't " + what + " " + path + ": " + std::strerror(errno) + ": check the disk, its space and the permissions"};
+    return Error{ErrorKind::Storage, "can't " + operation + " " + path + ": " + std::strerror(errno) + ": check the disk, its space and the permissions"};
 }
 
 }
 
 PosixFileSystem::~PosixFileSystem()
 {
-    closeCurrent();
-    if (m_lock >= 0) {
-        close(m_lock);
+    closeOpenFile();
+    if (m_lockFile >= 0) {
+        close(m_lockFile);
     }
 }
 
-void PosixFileSystem::closeCurrent()
+void PosixFileSystem::closeOpenFile()
 {
-    if (m_current >= 0) {
-        close(m_current);
+    if (m_openFile >= 0) {
+        close(m_openFile);
     }
-    m_current = -1;
-    m_currentPath.clear();
+    m_openFile = -1;
+    m_openPath.clear();
 }
 
 Result<Done> PosixFileSystem::openFolder(const std::string &path)
@@ -48,15 +48,15 @@
     std::filesystem::create_directories(path, error);
     if (error) {
         errno = error.value();
-        return failed("make the folder", path);
+        return systemError("create the folder", path);
     }
-    const std::string lock = path + "/lock";
-    m_lock = open(lock.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-    if (m_lock < 0) {
-        return failed("open", lock);
+    const std::string lockPath = path + "/lock";
+    m_lockFile = open(lockPath.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
+    if (m_lockFile < 0) {
+        return systemError("open", lockPath);
     }
-    // Two processes on one folder would each overwrite what the other has promised.
-    if (flock(m_lock, LOCK_EX | LOCK_NB) != 0) {
+    // Two processes using one folder would overwrite each other's promises.
+    if (flock(m_lockFile, LOCK_EX | LOCK_NB) != 0) {
         return Error{ErrorKind::Storage, path + " is in use by another process: stop it, or set another data_folder"};
     }
     return Done{};
@@ -71,7 +71,7 @@
     }
     if (error) {
         errno = error.value();
-        return failed("list", path);
+        return systemError("list", path);
     }
     std::ranges::sort(names);
     return names;
@@ -83,35 +83,36 @@
     std::ostringstream content;
     content << file.rdbuf();
     if (!file || content.bad()) {
-        return failed("read", path);
+        return systemError("read", path);
     }
     return content.str();
 }
 
 Result<Done> PosixFileSystem::write(const std::string &path, std::uint64_t offset, std::string_view bytes)
 {
-    if (m_currentPath != path || offset == 0) {
-        closeCurrent();
-        m_current = open(path.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC | (offset == 0 ? O_TRUNC : 0), 0600);
-        if (m_current < 0) {
-            return failed("open", path);
+    if (m_openPath != path || offset == 0) {
+        closeOpenFile();
+        m_openFile = open(path.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC | (offset == 0 ? O_TRUNC : 0), 0600);
+        if (m_openFile < 0) {
+            return systemError("open", path);
         }
-        m_currentPath = path;
+        m_openPath = path;
     }
     while (!bytes.empty()) {
-        const ssize_t written = pwrite(m_current, bytes.data(), bytes.size(), static_cast<off_t>(offset));
+        const ssize_t written = pwrite(m_openFile, bytes.data(), bytes.size(), static_cast<off_t>(offset));
         if (written < 0 && errno == EINTR) {
             continue;
         }
         if (written <= 0) {
-            return failed("write to", path);
+            return systemError("write to", path);
         }
         bytes.remove_prefix(static_cast<std::size_t>(written));
         offset += static_cast<std::uint64_t>(written);
     }
-    // After a failed sync the kernel may have dropped the pages, and a second sync would succeed without them: it is never repeated.
-    if (fdatasync(m_current) != 0) {
-        return failed("sync", path);
+    // After a failed sync, the kernel may have dropped the dirty pages, and a second sync would succeed without them: a sync is never
+    // repeated.
+    if (fdatasync(m_openFile) != 0) {
+        return systemError("sync", path);
     }
     return Done{};
 }
@@ -120,7 +121,7 @@
 {
     const int file = open(path.c_str(), O_WRONLY | O_CLOEXEC);
     const bool done = file >= 0 && ftruncate(file, static_cast<off_t>(size)) == 0 && fsync(file) == 0;
-    const Error error = failed("truncate", path);
+    const Error error = systemError("truncate", path);
     if (file >= 0) {
         close(file);
     }
@@ -130,18 +131,18 @@
 Result<Done> PosixFileSystem::rename(const std::string &from, const std::string &to) const
 {
     if (std::rename(from.c_str(), to.c_str()) != 0) {
-        return failed("rename", from);
+        return systemError("rename", from);
     }
     return Done{};
 }
 
 Result<Done> PosixFileSystem::remove(const std::string &path)
 {
-    if (m_currentPath == path) {
-        closeCurrent();
+    if (m_openPath == path) {
+        closeOpenFile();
     }
     if (unlink(path.c_str()) != 0) {
-        return failed("remove", path);
+        return systemError("remove", path);
     }
     return Done{};
 }
@@ -150,7 +151,7 @@
 {
     const int folder = open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     const bool done = folder >= 0 && fsync(folder) == 0;
-    const Error error = failed("sync", path);
+    const Error error = systemError("sync", path);
     if (folder >= 0) {
         close(folder);
     }
--- a/src/raft/filesystem.h
+++ b/src/raft/filesystem.h
@@ -11,22 +11,22 @@
 namespace cumindyke::raft
 {
 
-/// What storage needs of files. Tests inject faults here.
+/// File operations that storage needs. Tests use this to inject faults.
 template<typename F>
 concept FileSystem = requires(F files, const std::string &path, std::string_view bytes, std::uint64_t offset)
 {
-    // Makes the folder if needed and keeps any other process out of it.
+    // Creates the folder if needed and locks it against other processes.
     {
         files.openFolder(path)
         } -> std::same_as<Result<Done>>;
-    // The names in a folder, sorted.
+    // Returns the names in a folder, sorted.
     {
         files.list(path)
         } -> std::same_as<Result<std::vector<std::string>>>;
     {
         files.read(path)
         } -> std::same_as<Result<std::string>>;
-    // Writes at an offset and syncs the file; at 0 the file is made anew.
+    // Writes at an offset and syncs the file; offset 0 creates or truncates the file first.
     {
         files.write(path, offset, bytes)
         } -> std::same_as<Result<Done>>;
@@ -39,13 +39,13 @@
     {
         files.remove(path)
         } -> std::same_as<Result<Done>>;
-    // Syncs the names in a folder.
+    // Syncs the folder's directory entries.
     {
         files.syncFolder(path)
         } -> std::same_as<Result<Done>>;
 };
 
-/// Files of the machine.
+/// POSIX files.
 class PosixFileSystem
 {
 public:
@@ -64,12 +64,12 @@
     Result<Done> syncFolder(const std::string &path) const;
 
 private:
-    void closeCurrent();
+    void closeOpenFile();
 
-    int m_lock = -1;
-    /// The file written last stays open: nearly all writes go to the newest segment.
-    std::string m_currentPath;
-    int m_current = -1;
+    int m_lockFile = -1;
+    /// The file written last is kept open: nearly all writes go to the newest segment.
+    std::string m_openPath;
+    int m_openFile = -1;
 };
 
 }
--- a/src/raft/formation.cpp
+++ b/src/raft/formation.cpp
@@ -3,18 +3,18 @@
 namespace cumindyke::raft
 {
 
-Formation::Formation(VmName self, std::vector<VmName> firstVoters, std::uint64_t incarnation)
+Formation::Formation(VmName self, std::vector<VmName> initialVoters, std::uint64_t incarnation)
     : m_self(std::move(self))
-    , m_firstVoters(std::move(firstVoters))
-    , m_heard{{m_self.value, incarnation}}
+    , m_initialVoters(std::move(initialVoters))
+    , m_incarnations{{m_self.value, incarnation}}
 {
     formIfComplete();
 }
 
-std::vector<v1::RaftMessage> Formation::ask() const
+std::vector<v1::RaftMessage> Formation::requests() const
 {
     std::vector<v1::RaftMessage> messages;
-    for (const VmName &voter : m_firstVoters) {
+    for (const VmName &voter : m_initialVoters) {
         if (voter == m_self) {
             continue;
         }
@@ -22,37 +22,37 @@
         message.set_kind(v1::RaftMessage::FORM);
         message.set_from(m_self.value);
         message.set_to(voter.value);
-        message.set_incarnation(m_heard.at(m_self.value));
+        message.set_incarnation(m_incarnations.at(m_self.value));
         messages.push_back(std::move(message));
     }
     return messages;
 }
 
-v1::RaftMessage Formation::answer(const v1::RaftMessage &question, const VmName &self, std::uint64_t incarnation, const v1::Membership *formed)
+v1::RaftMessage Formation::makeReply(const v1::RaftMessage &request, const VmName &self, std::uint64_t incarnation, const v1::Membership *members)
 {
     v1::RaftMessage message;
     message.set_kind(v1::RaftMessage::FORM_REPLY);
     message.set_from(self.value);
-    message.set_to(question.from());
+    message.set_to(request.from());
     message.set_incarnation(incarnation);
-    if (formed) {
-        *message.mutable_snapshot_membership() = *formed;
+    if (members) {
+        *message.mutable_snapshot_membership() = *members;
     }
     return message;
 }
 
-void Formation::take(const v1::RaftMessage &message)
+void Formation::handleReply(const v1::RaftMessage &message)
 {
-    if (m_formed) {
+    if (m_membership) {
         return;
     }
     if (message.has_snapshot_membership()) {
-        m_formed = message.snapshot_membership();
+        m_membership = message.snapshot_membership();
         return;
     }
-    for (const VmName &voter : m_firstVoters) {
+    for (const VmName &voter : m_initialVoters) {
         if (voter.value == message.from()) {
-            m_heard[voter.value] = message.incarnation();
+            m_incarnations[voter.value] = message.incarnation();
         }
     }
     formIfComplete();
@@ -60,20 +60,20 @@
 
 void Formation::formIfComplete()
 {
-    if (m_heard.size() < m_firstVoters.size()) {
+    if (m_incarnations.size() < m_initialVoters.size()) {
         return;
     }
-    m_formed.emplace();
-    for (const auto &[voter, incarnation] : m_heard) {
-        m_formed->add_voters(voter);
-        (*m_formed->mutable_incarnations())[voter] = incarnation;
+    m_membership.emplace();
+    for (const auto &[voter, incarnation] : m_incarnations) {
+        m_membership->add_voters(voter);
+        (*m_membership->mutable_incarnations())[voter] = incarnation;
     }
 }
 
-bool Formation::belongs() const
+bool Formation::isMember() const
 {
-    const auto known = m_formed->incarnations().find(m_self.value);
-    return known != m_formed->incarnations().end() && known->second == m_heard.at(m_self.value);
+    const auto known = m_membership->incarnations().find(m_self.value);
+    return known != m_membership->incarnations().end() && known->second == m_incarnations.at(m_self.value);
 }
 
 }
--- a/src/raft/memorylog.cpp
+++ b/src/raft/memorylog.cpp
@@ -10,22 +10,22 @@
 {
 }
 
-std::optional<Term> MemoryLog::term(Index index) const
+std::optional<Term> MemoryLog::termAt(Index index) const
 {
     if (index == m_baseIndex) {
         return m_baseTerm;
     }
-    if (index < m_baseIndex || index > last()) {
+    if (index < m_baseIndex || index > lastIndex()) {
         return {};
     }
     return at(index)->term();
 }
 
-std::vector<EntryPointer> MemoryLog::from(Index first, std::size_t maxBytes) const
+std::vector<EntryPointer> MemoryLog::entriesFrom(Index first, std::size_t maxBytes) const
 {
     std::vector<EntryPointer> entries;
     std::size_t bytes = 0;
-    for (Index index = first; index <= last(); ++index) {
+    for (Index index = first; index <= lastIndex(); ++index) {
         bytes += at(index)->command().size();
         if (!entries.empty() && bytes > maxBytes) {
             break;
@@ -50,7 +50,7 @@
     if (upTo <= m_baseIndex) {
         return;
     }
-    m_baseTerm = *term(upTo);
+    m_baseTerm = *termAt(upTo);
     m_entries.erase(m_entries.begin(), m_entries.begin() + static_cast<std::ptrdiff_t>(upTo - m_baseIndex));
     m_baseIndex = upTo;
 }
--- a/src/raft/memorylog.h
+++ b/src/raft/memorylog.h
@@ -7,37 +7,37 @@
 namespace cumindyke::raft
 {
 
-/// The entries after a base, in memory: from some way before the last snapshot to the end of the log.
+/// The log entries after a base index, in memory: from some entries before the last snapshot to the end of the log.
 class MemoryLog
 {
 public:
     MemoryLog(Index baseIndex, Term baseTerm, const std::vector<EntryPointer> &entries);
 
-    Index base() const
+    Index baseIndex() const
     {
         return m_baseIndex;
     }
-    Index last() const
+    Index lastIndex() const
     {
         return m_baseIndex + m_entries.size();
     }
     Term lastTerm() const
     {
-        return *term(last());
+        return *termAt(lastIndex());
     }
-    /// None before the base and after the end.
-    std::optional<Term> term(Index index) const;
+    /// Returns an entry's term; empty before the base and after the end of the log.
+    std::optional<Term> termAt(Index index) const;
     const EntryPointer &at(Index index) const
     {
         return m_entries[index - m_baseIndex - 1];
     }
-    /// Entries from an index on, at least one if there is one, at most maxBytes of commands.
-    std::vector<EntryPointer> from(Index first, std::size_t maxBytes) const;
+    /// Returns the entries from an index on, with at most maxBytes of commands, but at least one entry if there is any.
+    std::vector<EntryPointer> entriesFrom(Index first, std::size_t maxBytes) const;
 
     void append(EntryPointer entry);
-    /// Drops the entries after an index.
+    /// Removes the entries after an index.
     void truncateAfter(Index index);
-    /// Drops the entries up to an index.
+    /// Removes the entries up to an index.
     void compact(Index upTo);
     void reset(Index baseIndex, Term baseTerm);
 
--- a/src/raft/repair.cpp
+++ b/src/raft/repair.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-/// A voter that is needed for a change must have answered this recently.
-constexpr Duration RecentReply = std::chrono::milliseconds(750);
+/// A voter counts as reachable if its last reply is more recent than this.
+constexpr Duration MaxReplyAge = std::chrono::milliseconds(750);
 
 template<typename Names>
-bool holds(const Names &names, const std::string &name)
+bool contains(const Names &names, const std::string &name)
 {
     return std::ranges::find(names, name) != names.end();
 }
@@ -31,20 +31,20 @@
 
 }
 
-void Repair::offered(const VmName &vm, std::uint64_t incarnation, TimePoint now)
+void Repair::recordOffer(const VmName &vm, std::uint64_t incarnation, TimePoint now)
 {
-    m_offers[vm] = Offer{.incarnation = incarnation, .at = now};
+    m_offers[vm] = Offer{.incarnation = incarnation, .receivedAt = now};
 }
 
-std::optional<v1::Membership> Repair::next(const Core &core, TimePoint now) const
+std::optional<v1::Membership> Repair::nextChange(const Core &core, TimePoint now) const
 {
     if (core.role() != Core::Role::Leader || !core.membershipCommitted()) {
         return {};
     }
-    std::optional<v1::Membership> change = demoteBlank(core);
-    change = change ? change : removeSurplus(core, now);
-    change = change ? change : promote(core, now);
-    change = change ? change : mendLearners(core, now);
+    std::optional<v1::Membership> change = demoteWipedVoter(core);
+    change = change ? change : removeSurplusVoter(core, now);
+    change = change ? change : promoteLearner(core, now);
+    change = change ? change : updateLearners(core, now);
     change = change ? change : addLearner(core, now);
     if (!change || !canCommit(core, *change, now)) {
         return {};
@@ -52,24 +52,25 @@
     return change;
 }
 
-bool Repair::lost(const Core &core, const std::string &member, TimePoint now) const
+bool Repair::isTimedOut(const Core &core, const std::string &member, TimePoint now) const
 {
     const Progress *progress = progressOf(core, member);
-    return progress && now - progress->lastReply > m_options.lostAfter;
+    return progress && now - progress->lastReplyAt > m_options.memberTimeout;
 }
 
-std::optional<std::string> Repair::lostVoter(const Core &core, TimePoint now) const
+std::optional<std::string> Repair::timedOutVoter(const Core &core, TimePoint now) const
 {
     for (const std::string &voter : core.membership().voters()) {
-        if (lost(core, voter, now)) {
+        if (isTimedOut(core, voter, now)) {
             return voter;
         }
     }
     return {};
 }
 
-/// What the old folder had promised is forgotten, so the voter may not vote: it comes back by way of a learner.
-std::optional<v1::Membership> Repair::demoteBlank(const Core &core) const
+/// Makes a learner of a voter that has a new data folder. The promises made from the old folder are lost, so the voter may not vote until
+/// it is promoted again.
+std::optional<v1::Membership> Repair::demoteWipedVoter(const Core &core) const
 {
     for (const std::string &voter : core.membership().voters()) {
         const Progress *progress = progressOf(core, voter);
@@ -85,17 +86,17 @@
     return {};
 }
 
-std::optional<v1::Membership> Repair::promote(const Core &core, TimePoint now) const
+std::optional<v1::Membership> Repair::promoteLearner(const Core &core, TimePoint now) const
 {
     const auto voters = static_cast<std::size_t>(core.membership().voters_size());
-    if (voters > m_options.voters || (voters == m_options.voters && !lostVoter(core, now))) {
+    if (voters > m_options.targetVoters || (voters == m_options.targetVoters && !timedOutVoter(core, now))) {
         return {};
     }
     for (const std::string &learner : core.membership().learners()) {
         const Progress *progress = progressOf(core, learner);
-        const bool caughtUp = progress && progress->admitted && progress->incarnation != 0 && progress->state == Progress::State::Replicate
-            && now - progress->lastReply < RecentReply && progress->match + 1 >= core.commit();
-        if (!caughtUp) {
+        const bool hasCaughtUp = progress && progress->admitted && progress->incarnation != 0 && progress->state == Progress::State::Replicate
+            && now - progress->lastReplyAt < MaxReplyAge && progress->matchIndex + 1 >= core.commitIndex();
+        if (!hasCaughtUp) {
             continue;
         }
         v1::Membership next = core.membership();
@@ -106,16 +107,16 @@
     return {};
 }
 
-std::optional<v1::Membership> Repair::removeSurplus(const Core &core, TimePoint now) const
+std::optional<v1::Membership> Repair::removeSurplusVoter(const Core &core, TimePoint now) const
 {
     const auto voters = static_cast<std::size_t>(core.membership().voters_size());
-    const std::size_t least = m_options.leastVoters == 0 ? m_options.voters : m_options.leastVoters;
-    std::optional<std::string> surplus = voters > least ? lostVoter(core, now) : std::nullopt;
-    if (!surplus && voters > m_options.voters) {
-        // The voter that was replaced is back: the one that is furthest behind goes.
+    const std::size_t minVoters = m_options.minVoters == 0 ? m_options.targetVoters : m_options.minVoters;
+    std::optional<std::string> surplus = voters > minVoters ? timedOutVoter(core, now) : std::nullopt;
+    if (!surplus && voters > m_options.targetVoters) {
+        // A replaced voter is reachable again: remove the voter whose log is furthest behind.
         for (const auto &[member, progress] : core.progress()) {
-            const bool voter = holds(core.membership().voters(), member.value);
-            if (voter && (!surplus || progress.match < progressOf(core, *surplus)->match)) {
+            const bool isVoter = contains(core.membership().voters(), member.value);
+            if (isVoter && (!surplus || progress.matchIndex < progressOf(core, *surplus)->matchIndex)) {
                 surplus = member.value;
             }
         }
@@ -129,13 +130,13 @@
     return next;
 }
 
-/// A lost learner goes; one that lost its data folder again is admitted anew.
-std::optional<v1::Membership> Repair::mendLearners(const Core &core, TimePoint now) const
+/// Removes a timed-out learner, and records the new incarnation of a learner that lost its data folder again.
+std::optional<v1::Membership> Repair::updateLearners(const Core &core, TimePoint now) const
 {
     for (const std::string &learner : core.membership().learners()) {
         const Progress *progress = progressOf(core, learner);
         v1::Membership next = core.membership();
-        if (lost(core, learner, now)) {
+        if (isTimedOut(core, learner, now)) {
             removeFrom(*next.mutable_learners(), learner);
             next.mutable_incarnations()->erase(learner);
             return next;
@@ -151,12 +152,12 @@
 
 std::optional<v1::Membership> Repair::addLearner(const Core &core, TimePoint now) const
 {
-    const bool wanted = static_cast<std::size_t>(core.membership().voters_size()) < m_options.voters || lostVoter(core, now);
-    if (!wanted || core.membership().learners_size() > 0) {
+    const bool needsLearner = static_cast<std::size_t>(core.membership().voters_size()) < m_options.targetVoters || timedOutVoter(core, now);
+    if (!needsLearner || core.membership().learners_size() > 0) {
         return {};
     }
     for (const auto &[vm, offer] : m_offers) {
-        if (now - offer.at > m_options.offerHolds || holds(core.membership().voters(), vm.value)) {
+        if (now - offer.receivedAt > m_options.offerTimeout || contains(core.membership().voters(), vm.value)) {
             continue;
         }
         v1::Membership next = core.membership();
@@ -169,13 +170,13 @@
 
 bool Repair::canCommit(const Core &core, const v1::Membership &next, TimePoint now) const
 {
-    int heard = 0;
+    int reachable = 0;
     for (const std::string &voter : next.voters()) {
         const Progress *progress = progressOf(core, voter);
-        const bool self = !progress;
-        heard += self || now - progress->lastReply < RecentReply ? 1 : 0;
+        const bool isSelf = !progress;
+        reachable += isSelf || now - progress->lastReplyAt < MaxReplyAge ? 1 : 0;
     }
-    return heard > next.voters_size() / 2;
+    return reachable > next.voters_size() / 2;
 }
 
 }
--- a/src/raft/replica.h
+++ b/src/raft/replica.h
@@ -7,12 +7,12 @@
 namespace cumindyke::raft
 {
 
-/// The state that the log's commands are applied to.
+/// The state machine that committed commands are applied to.
 template<typename S>
 concept AppliedState = requires(S state, const Snapshot &snapshot, const v1::LogEntry &entry)
 {
     state.install(snapshot);
-    // Every committed entry in order; entries without a command open a term or change the members.
+    // Called for every committed entry in order. Entries without a command open a term or change the membership.
     state.apply(entry);
     {
         state.snapshot()
@@ -21,26 +21,26 @@
 
 struct SnapshotPolicy
 {
-    /// Entries applied between two snapshots.
+    /// Maximum number of entries applied between two snapshots.
     Index every = 4096;
-    /// Entries kept before the snapshot, so that a follower a little behind needs no snapshot.
+    /// Number of entries kept before the snapshot, so that a follower that is slightly behind needs no snapshot.
     Index keep = 1024;
-    /// Bytes of commands applied between two snapshots, if that is sooner; no fewer than the last snapshot has, so that snapshots cost no more than
-    /// what they replace.
+    /// Bytes of commands applied between two snapshots, if reached before intervalEntries. Never less than the size of the last snapshot,
+    /// so that snapshots cost no more than the commands they replace.
     std::size_t everyBytes = 8 << 20;
-    /// Bytes of commands kept before the snapshot at most.
+    /// Maximum bytes of commands kept before the snapshot.
     std::size_t keepBytes = 4 << 20;
 };
 
-/// Promises leave only after what they promise is synced.
-struct SyncThenPromise
+/// Sends votes and acknowledgements only after the writes that they depend on are synced.
+struct SyncThenSend
 {
-    static constexpr bool PromiseBeforeSync = false;
+    static constexpr bool SendBeforeSync = false;
 };
 
-/// A core with its storage, transport and state. Not thread-safe; nothing happens between step(), tick() or propose() and flush(),
-/// so that many messages share one sync.
-template<Storage S, Transport T, AppliedState A, typename Order = SyncThenPromise>
+/// Connects a core with its storage, transport and state machine. Not thread-safe. step(), tick() and propose() on the core have no outside
+/// effect until flush(), so that many messages share one sync.
+template<Storage S, Transport T, AppliedState A, typename Order = SyncThenSend>
 class Replica
 {
 public:
@@ -50,9 +50,9 @@
         , m_storage(storage)
         , m_transport(transport)
         , m_state(state)
-        , m_applied(recovered.snapshot->index)
+        , m_appliedIndex(recovered.snapshot->index)
     {
-        if (m_applied > 0) {
+        if (m_appliedIndex > 0) {
             m_state.install(*recovered.snapshot);
         }
     }
@@ -65,24 +65,25 @@
     {
         return m_core;
     }
-    Index applied() const
+    Index appliedIndex() const
     {
-        return m_applied;
+        return m_appliedIndex;
     }
-    /// The applied state answers linearizable reads at this moment.
-    bool readable(TimePoint now) const
+    /// Returns whether the applied state can serve linearizable reads now.
+    bool isReadable(TimePoint now) const
     {
-        return m_applied == m_core.commit() && m_core.leaseHeld(now);
+        return m_appliedIndex == m_core.commitIndex() && m_core.holdsLease(now);
     }
 
-    /// Does what the core asks for. After an error the disk's content is unknown: promise nothing more, stop the process.
+    /// Carries out the core's effects. After an error the content of the disk is unknown: send no more votes or acknowledgements and stop
+    /// the process.
     Result<Done> flush(TimePoint now)
     {
         m_core.replicate(now);
         for (Effects effects = m_core.takeEffects(); !effects.empty(); effects = m_core.takeEffects()) {
             sendAll(effects.messages);
-            if constexpr (Order::PromiseBeforeSync) {
-                sendAll(effects.promises);
+            if constexpr (Order::SendBeforeSync) {
+                sendAll(effects.messagesAfterSync);
             }
             if (!effects.writes.empty()) {
                 if (Result<Done> written = m_storage.persist(effects.writes); !ok(written)) {
@@ -90,9 +91,9 @@
                 }
             }
             m_core.synced(now);
-            sendAll(effects.promises);
+            sendAll(effects.messagesAfterSync);
             applyAll(effects);
-            if (snapshotDue()) {
+            if (isSnapshotDue()) {
                 if (Result<Done> saved = takeSnapshot(); !ok(saved)) {
                     return saved;
                 }
@@ -112,30 +113,31 @@
 
     void applyAll(const Effects &effects)
     {
-        if (effects.installed) {
-            m_state.install(*effects.installed);
-            m_applied = effects.installed->index;
+        if (effects.installedSnapshot) {
+            m_state.install(*effects.installedSnapshot);
+            m_appliedIndex = effects.installedSnapshot->index;
             m_bytesSinceSnapshot = 0;
         }
         for (const EntryPointer &entry : effects.committed) {
             m_state.apply(*entry);
             m_bytesSinceSnapshot += entry->command().size();
-            m_applied = entry->index();
+            m_appliedIndex = entry->index();
         }
     }
 
-    bool snapshotDue() const
+    bool isSnapshotDue() const
     {
         const Snapshot &last = *m_core.snapshot();
-        return m_applied >= last.index + m_policy.every || (m_applied > last.index && m_bytesSinceSnapshot >= std::max(m_policy.everyBytes, last.state.size()));
+        return m_appliedIndex >= last.index + m_policy.every
+            || (m_appliedIndex > last.index && m_bytesSinceSnapshot >= std::max(m_policy.everyBytes, last.state.size()));
     }
 
-    /// The last entry that need not be kept.
+    /// Returns the last index that may be discarded.
     Index keepAfter() const
     {
-        const Index oldest = std::max(m_core.log().base(), m_applied > m_policy.keep ? m_applied - m_policy.keep : 0);
+        const Index oldest = std::max(m_core.log().baseIndex(), m_appliedIndex > m_policy.keep ? m_appliedIndex - m_policy.keep : 0);
         std::size_t bytes = 0;
-        Index index = m_applied;
+        Index index = m_appliedIndex;
         for (; index > oldest && bytes < m_policy.keepBytes; --index) {
             bytes += m_core.log().at(index)->command().size();
         }
@@ -145,15 +147,15 @@
     Result<Done> takeSnapshot()
     {
         auto snapshot = std::make_shared<Snapshot>();
-        snapshot->index = m_applied;
-        snapshot->term = *m_core.log().term(m_applied);
-        snapshot->membership = m_core.membershipAt(m_applied);
+        snapshot->index = m_appliedIndex;
+        snapshot->term = *m_core.log().termAt(m_appliedIndex);
+        snapshot->membership = m_core.membershipAt(m_appliedIndex);
         snapshot->state = m_state.snapshot();
-        const Index dropped = keepAfter();
-        if (Result<Done> saved = m_storage.saveSnapshot(snapshot, dropped); !ok(saved)) {
+        const Index lastDropped = keepAfter();
+        if (Result<Done> saved = m_storage.saveSnapshot(snapshot, lastDropped); !ok(saved)) {
             return saved;
         }
-        m_core.compact(snapshot, dropped);
+        m_core.compact(snapshot, lastDropped);
         m_bytesSinceSnapshot = 0;
         return Done{};
     }
@@ -163,8 +165,8 @@
     S &m_storage;
     T &m_transport;
     A &m_state;
-    Index m_applied;
-    /// Of commands that were applied.
+    Index m_appliedIndex;
+    /// Bytes of commands applied since the last snapshot.
     std::size_t m_bytesSinceSnapshot = 0;
 };
 
--- a/src/raft/replicatedlog.cpp
+++ b/src/raft/replicatedlog.cpp
@@ -14,8 +14,8 @@
 {
 
 constexpr Duration FormationInterval = std::chrono::milliseconds(200);
-/// Of a log that grows and shrinks with the VMs there are: the fewest that bear the loss of one.
-constexpr std::size_t FewestVoters = 3;
+/// For a log whose number of voters follows the number of VMs: the smallest number that tolerates the loss of one.
+constexpr std::size_t MinVoters = 3;
 constexpr Duration OfferInterval = std::chrono::seconds(2);
 
 std::uint64_t randomNumber()
@@ -30,18 +30,18 @@
 {
     struct Sender
     {
-        std::function<void(const VmName &, v1::Envelope)> envelope;
+        std::function<void(const VmName &, v1::Envelope)> sendEnvelope;
 
         void send(v1::RaftMessage message) const
         {
             const VmName to{message.to()};
-            v1::Envelope wrapped;
-            *wrapped.mutable_raft() = std::move(message);
-            envelope(to, std::move(wrapped));
+            v1::Envelope envelope;
+            *envelope.mutable_raft() = std::move(message);
+            sendEnvelope(to, std::move(envelope));
         }
     };
 
-    /// Hands what is applied to the signals.
+    /// Forwards committed entries and snapshots to the signals.
     struct State
     {
         sigc::signal<void, Index, Term, const std::string &> applied;
@@ -63,26 +63,26 @@
     };
     using LogReplica = Replica<FileStorage<PosixFileSystem>, Sender, State>;
 
-    explicit Private(ReplicatedLogOptions given)
-        : options(std::move(given))
+    explicit Private(ReplicatedLogOptions logOptions)
+        : options(std::move(logOptions))
         , storage(files, options.dataFolder)
         , sender{options.send}
-        , repair(RepairOptions{.voters = std::max<std::size_t>({options.initialVoters.size(), options.wantedVoters, 1}),
-                               .leastVoters = options.wantedVoters == 0 ? 0 : FewestVoters,
-                               .lostAfter = options.replaceAfter})
+        , repair(RepairOptions{.targetVoters = std::max<std::size_t>({options.initialVoters.size(), options.wantedVoters, 1}),
+                               .minVoters = options.wantedVoters == 0 ? 0 : MinVoters,
+                               .memberTimeout = options.replaceAfter})
     {
     }
 
-    void prepare(TimePoint now);
-    void formed(const v1::Membership &membership, bool belongs, TimePoint now);
+    void recoverOrForm(TimePoint now);
+    void finishFormation(const v1::Membership &membership, bool isMember, TimePoint now);
     void startReplica(TimePoint now);
-    void stepForming(const v1::RaftMessage &message, TimePoint now);
-    void offerIfIdle(TimePoint now);
-    void mendMembers(TimePoint now);
-    void wantFlush();
+    void handleFormation(const v1::RaftMessage &message, TimePoint now);
+    void offerIfNotMember(TimePoint now);
+    void repairMembership(TimePoint now);
+    void requestFlush();
     void flush(TimePoint now);
-    void noteChanges();
-    void fail(const Error &error);
+    void reportChanges();
+    void handleStorageError(const Error &error);
 
     const ReplicatedLogOptions options;
     PosixFileSystem files;
@@ -93,93 +93,95 @@
     Recovered recovered;
     std::unique_ptr<Formation> formation;
     std::unique_ptr<LogReplica> replica;
-    TimePoint nextQuestion = TimePoint::min();
-    TimePoint nextOffer = TimePoint::min();
-    TimePoint heardLeader;
+    TimePoint nextFormRequestAt = TimePoint::min();
+    TimePoint nextOfferAt = TimePoint::min();
+    TimePoint lastLeaderSeenAt;
     bool flushPending = false;
-    bool stopped = false;
-    std::optional<VmName> knownLeader;
-    std::string knownMembers;
+    bool isStopped = false;
+    std::optional<VmName> reportedLeader;
+    std::string reportedMembership;
     sigc::signal<void, const std::optional<VmName> &> leaderChanged;
     sigc::signal<void> flushWanted;
     sigc::signal<void, const Error &> failed;
 };
 
-void ReplicatedLog::Private::prepare(TimePoint now)
+void ReplicatedLog::Private::recoverOrForm(TimePoint now)
 {
-    heardLeader = now;
+    lastLeaderSeenAt = now;
     if (recovered.snapshot) {
         startReplica(now);
         return;
     }
     if (!options.formCluster || std::ranges::find(options.initialVoters, options.vm) == options.initialVoters.end()) {
-        formed({}, false, now);
+        finishFormation({}, false, now);
         return;
     }
     formation = std::make_unique<Formation>(options.vm, options.initialVoters, recovered.identity.incarnation);
-    if (formation->formed()) {
-        formed(*formation->formed(), true, now);
+    if (formation->membership()) {
+        finishFormation(*formation->membership(), true, now);
     }
 }
 
-/// A replica that doesn't belong starts with no members: it votes for nobody until the leader admits it.
-void ReplicatedLog::Private::formed(const v1::Membership &membership, bool belongs, TimePoint now)
+/// Ends the formation and starts the replica. A replica that isn't a member starts with an empty membership: it grants no vote until the
+/// leader admits it.
+void ReplicatedLog::Private::finishFormation(const v1::Membership &membership, bool isMember, TimePoint now)
 {
     auto first = std::make_shared<Snapshot>();
-    if (belongs) {
+    if (isMember) {
         first->membership = membership;
     }
-    recovered.identity.admitted = belongs;
+    recovered.identity.admitted = isMember;
     recovered.snapshot = first;
     if (const auto done = storage.persist(Writes{.identity = recovered.identity, .vote = {}, .snapshot = first}); !ok(done)) {
-        fail(errorOf(done));
+        handleStorageError(errorOf(done));
         return;
     }
-    logChange("raft", belongs ? "cluster-formed" : "waiting-to-be-admitted", {{"vm", options.vm.value}});
+    logChange("raft", isMember ? "cluster-formed" : "waiting-to-be-admitted", {{"vm", options.vm.value}});
     startReplica(now);
 }
 
 void ReplicatedLog::Private::startReplica(TimePoint now)
 {
     formation.reset();
-    const CoreOptions coreOptions{.self = options.vm, .electionTimeout = options.electionTimeout, .heartbeat = options.heartbeat};
+    const CoreOptions coreOptions{.self = options.vm, .electionTimeout = options.electionTimeout, .heartbeatInterval = options.heartbeatInterval};
     replica = std::make_unique<LogReplica>(coreOptions, recovered, randomNumber(), now, options.snapshots, storage, sender, state);
     recovered.entries.clear();
     replica->core().tick(now);
-    wantFlush();
+    requestFlush();
 }
 
-void ReplicatedLog::Private::stepForming(const v1::RaftMessage &message, TimePoint now)
+void ReplicatedLog::Private::handleFormation(const v1::RaftMessage &message, TimePoint now)
 {
     if (message.kind() == v1::RaftMessage::FORM) {
         const std::optional<v1::Membership> members
-            = replica ? std::optional(replica->core().membershipAt(replica->applied())) : std::optional<v1::Membership>();
-        // A replica that waits to be admitted itself knows no members and must not answer as if there were no cluster yet.
+            = replica ? std::optional(replica->core().membershipAt(replica->appliedIndex())) : std::optional<v1::Membership>();
+        // A replica that waits to be admitted knows no members; its reply would wrongly say that there is no cluster yet.
         if (replica && members->voters().empty()) {
             return;
         }
-        sender.send(Formation::answer(message, options.vm, recovered.identity.incarnation, members ? &*members : nullptr));
+        sender.send(Formation::makeReply(message, options.vm, recovered.identity.incarnation, members ? &*members : nullptr));
         return;
     }
     if (formation && message.kind() == v1::RaftMessage::FORM_REPLY) {
-        formation->take(message);
-        if (formation->formed()) {
-            const v1::Membership members = *formation->formed();
-            formed(members, formation->belongs(), now);
+        formation->handleReply(message);
+        if (formation->membership()) {
+            const v1::Membership members = *formation->membership();
+            finishFormation(members, formation->isMember(), now);
         }
     }
 }
 
-/// A VM with a disk that hears no leader is no member: it offers itself, and the leader takes it when a voter is lost.
-void ReplicatedLog::Private::offerIfIdle(TimePoint now)
+/// Offers this VM as a replica if it has had no contact with a leader, since it is then not a member. The leader accepts the offer when a
+/// voter has timed out.
+void ReplicatedLog::Private::offerIfNotMember(TimePoint now)
 {
     if (replica->core().leader()) {
-        heardLeader = now;
+        lastLeaderSeenAt = now;
     }
-    if (now - heardLeader < 2 * options.electionTimeout || now < nextOffer) {
+    if (now - lastLeaderSeenAt < 2 * options.electionTimeout || now < nextOfferAt) {
         return;
     }
-    nextOffer = now + OfferInterval;
+    nextOfferAt = now + OfferInterval;
     const VmName leader = options.leaderHint ? options.leaderHint() : options.vm;
     if (leader == options.vm) {
         return;
@@ -192,14 +194,14 @@
     sender.send(std::move(offer));
 }
 
-void ReplicatedLog::Private::mendMembers(TimePoint now)
+void ReplicatedLog::Private::repairMembership(TimePoint now)
 {
-    if (const auto change = repair.next(replica->core(), now)) {
+    if (const auto change = repair.nextChange(replica->core(), now)) {
         replica->core().changeMembership(*change, now);
     }
 }
 
-void ReplicatedLog::Private::wantFlush()
+void ReplicatedLog::Private::requestFlush()
 {
     if (!flushPending) {
         flushPending = true;
@@ -210,42 +212,42 @@
 void ReplicatedLog::Private::flush(TimePoint now)
 {
     flushPending = false;
-    if (!replica || stopped) {
+    if (!replica || isStopped) {
         return;
     }
     if (const auto done = replica->flush(now); !ok(done)) {
-        fail(errorOf(done));
+        handleStorageError(errorOf(done));
         return;
     }
-    noteChanges();
+    reportChanges();
 }
 
-void ReplicatedLog::Private::noteChanges()
+void ReplicatedLog::Private::reportChanges()
 {
     const Core &core = replica->core();
     if (core.identity().admitted != recovered.identity.admitted) {
         recovered.identity = core.identity();
         logChange("raft", "admitted", {{"vm", options.vm.value}});
     }
-    if (const std::string members = core.membership().SerializeAsString(); members != knownMembers) {
-        knownMembers = members;
+    if (const std::string members = core.membership().SerializeAsString(); members != reportedMembership) {
+        reportedMembership = members;
         std::string voters;
         for (const std::string &voter : core.membership().voters()) {
             voters += (voters.empty() ? "" : ",") + voter;
         }
         logChange("raft", "members", {{"voters", voters}, {"learners", std::to_string(core.membership().learners_size())}});
     }
-    if (core.leader() == knownLeader) {
+    if (core.leader() == reportedLeader) {
         return;
     }
-    knownLeader = core.leader();
-    logChange("raft", "leader", {{"leader", knownLeader ? knownLeader->value : "none"}, {"term", std::to_string(core.term())}});
-    leaderChanged.emit(knownLeader);
+    reportedLeader = core.leader();
+    logChange("raft", "leader", {{"leader", reportedLeader ? reportedLeader->value : "none"}, {"term", std::to_string(core.term())}});
+    leaderChanged.emit(reportedLeader);
 }
 
-void ReplicatedLog::Private::fail(const Error &error)
+void ReplicatedLog::Private::handleStorageError(const Error &error)
 {
-    stopped = true;
+    isStopped = true;
     logWarning("raft", "storage-failed", {{"error", error.message}});
     failed.emit(error);
 }
@@ -270,53 +272,53 @@
 
 void ReplicatedLog::start(TimePoint now)
 {
-    d->prepare(now);
+    d->recoverOrForm(now);
     d->flush(now);
 }
 
 void ReplicatedLog::step(const v1::RaftMessage &message, TimePoint now)
 {
-    const bool forming = message.kind() == v1::RaftMessage::FORM || message.kind() == v1::RaftMessage::FORM_REPLY;
-    if (d->stopped) {
+    const bool isFormation = message.kind() == v1::RaftMessage::FORM || message.kind() == v1::RaftMessage::FORM_REPLY;
+    if (d->isStopped) {
         return;
     }
-    if (forming) {
-        d->stepForming(message, now);
+    if (isFormation) {
+        d->handleFormation(message, now);
     } else if (message.kind() == v1::RaftMessage::STANDBY) {
-        d->repair.offered(VmName{message.from()}, message.incarnation(), now);
+        d->repair.recordOffer(VmName{message.from()}, message.incarnation(), now);
     } else if (d->replica) {
         d->replica->core().step(message, now);
-        d->wantFlush();
+        d->requestFlush();
     }
 }
 
 void ReplicatedLog::tick(TimePoint now)
 {
-    if (d->stopped) {
+    if (d->isStopped) {
         return;
     }
-    if (d->formation && now >= d->nextQuestion) {
-        d->nextQuestion = now + FormationInterval;
-        for (v1::RaftMessage &question : d->formation->ask()) {
-            d->sender.send(std::move(question));
+    if (d->formation && now >= d->nextFormRequestAt) {
+        d->nextFormRequestAt = now + FormationInterval;
+        for (v1::RaftMessage &request : d->formation->requests()) {
+            d->sender.send(std::move(request));
         }
     }
     if (!d->replica) {
         return;
     }
     d->replica->core().tick(now);
-    d->offerIfIdle(now);
-    d->mendMembers(now);
-    d->wantFlush();
+    d->offerIfNotMember(now);
+    d->repairMembership(now);
+    d->requestFlush();
 }
 
 std::optional<Index> ReplicatedLog::propose(std::string command, TimePoint /*now*/)
 {
-    if (!d->replica || d->stopped) {
+    if (!d->replica || d->isStopped) {
         return {};
     }
     const auto index = d->replica->core().propose(std::move(command));
-    d->wantFlush();
+    d->requestFlush();
     return index;
 }
 
@@ -342,37 +344,37 @@
 
 Index ReplicatedLog::appliedIndex() const
 {
-    return d->replica ? d->replica->applied() : 0;
+    return d->replica ? d->replica->appliedIndex() : 0;
 }
 
 bool ReplicatedLog::hasReadableState(TimePoint now) const
 {
-    return d->replica && !d->stopped && d->replica->readable(now);
+    return d->replica && !d->isStopped && d->replica->isReadable(now);
 }
 
 v1::Membership ReplicatedLog::membership() const
 {
-    return d->replica ? d->replica->core().membershipAt(d->replica->applied()) : v1::Membership();
+    return d->replica ? d->replica->core().membershipAt(d->replica->appliedIndex()) : v1::Membership();
 }
 
 Result<Index> ReplicatedLog::changeMembership(const v1::Membership &next, TimePoint now)
 {
-    if (!d->replica || d->stopped) {
-        return Error{ErrorKind::Unavailable, "the first replicas have not met yet: start all of them"};
+    if (!d->replica || d->isStopped) {
+        return Error{ErrorKind::Unavailable, "the cluster is not formed yet: start all initial replicas"};
     }
     auto index = d->replica->core().changeMembership(next, now);
-    d->wantFlush();
+    d->requestFlush();
     return index;
 }
 
 bool ReplicatedLog::transferLeadership(TimePoint now)
 {
-    if (!d->replica || d->stopped) {
+    if (!d->replica || d->isStopped) {
         return false;
     }
     const auto successor = d->replica->core().bestSuccessor();
     const bool started = successor && d->replica->core().transferLeadership(*successor, now);
-    d->wantFlush();
+    d->requestFlush();
     return started;
 }
 
--- a/src/raft/replicatedlog.h
+++ b/src/raft/replicatedlog.h
@@ -17,28 +17,28 @@
 {
     VmName vm;
     std::string dataFolder;
-    /// The first voters, the same on every VM; used only while the data folder is new. A VM with a disk that isn't among them offers itself
-    /// as a replacement.
+    /// The initial voters, the same on every VM; used only while the data folder is new. A VM that has a disk but isn't listed offers
+    /// itself as a replacement.
     std::vector<VmName> initialVoters;
-    /// With a new data folder: false when the first voters have long met, so that this VM waits to be admitted.
+    /// Applies to a new data folder: false if the cluster was formed long ago, so that this VM waits to be admitted.
     bool formCluster = true;
-    /// Voters that the log grows to while VMs with disks offer themselves; 0: as many as initialVoters.
+    /// Number of voters to grow to while VMs with disks offer themselves; 0: the number of initialVoters.
     std::size_t wantedVoters = 0;
-    /// Whom this VM takes for the leader when it isn't a member: its offers go there only, so that their number grows with the VMs, not
-    /// with the pairs of them.
+    /// Returns the VM assumed to lead while this VM isn't a member. Offers go only there, so that their number grows with the number of VMs
+    /// and not with the number of pairs.
     std::function<VmName()> leaderHint;
     std::function<void(const VmName &to, v1::Envelope envelope)> send;
-    /// Several heartbeats, and a slow disk's longest sync; a shorter one elects leaders anew whenever a VM is slow.
+    /// Covers several heartbeats and the longest sync of a slow disk. A shorter timeout would cause an election whenever a VM is slow.
     Duration electionTimeout = std::chrono::milliseconds(500);
-    Duration heartbeat = std::chrono::milliseconds(100);
-    /// A voter that was silent for so long is replaced, if another VM with a disk offers itself.
+    Duration heartbeatInterval = std::chrono::milliseconds(100);
+    /// A voter that has sent no reply for this long is replaced if another VM with a disk offers itself.
     Duration replaceAfter = std::chrono::seconds(30);
     SnapshotPolicy snapshots;
 };
 
-/// The replicated log of one VM, on its disk. Not thread-safe: one task calls it, and gets its signals in the same thread.
+/// The replicated log of one VM, stored on its disk. Not thread-safe: a single task calls it and receives its signals in the same thread.
 ///
-/// step(), tick() and propose() only take note; flush() syncs, sends and applies, so that many messages share one sync.
+/// step(), tick() and propose() only queue work; flush() syncs, sends and applies, so that many messages share one sync.
 class ReplicatedLog
 {
 public:
@@ -48,39 +48,41 @@
     ReplicatedLog(const ReplicatedLog &) = delete;
     ReplicatedLog &operator=(const ReplicatedLog &) = delete;
 
-    /// Call once the signals are connected, and before anything below. Emits snapshotInstalled(), if there is a snapshot.
+    /// Starts the replica. Call after the signals are connected and before any of the functions below. Emits snapshotInstalled() if there
+    /// is a snapshot.
     void start(TimePoint now);
     void step(const v1::RaftMessage &message, TimePoint now);
     /// Call about every 50 ms.
     void tick(TimePoint now);
-    /// None: this VM isn't the leader. Otherwise the command comes back by applied() with this index and the present term; if something else
-    /// comes with the index, or another term, the command is lost.
+    /// Proposes a command and returns its index; empty if this VM isn't the leader. Once committed, the command is passed to applied() with
+    /// this index and the current term. If applied() reports another term for the index, the command is lost.
     std::optional<Index> propose(std::string command, TimePoint now);
-    /// Call after each batch of the above, when flushWanted() was emitted.
+    /// Call after each batch of calls to the functions above, when flushRequested() was emitted.
     void flush(TimePoint now);
 
     bool isLeader() const;
     std::optional<VmName> leader() const;
     Term term() const;
     Index appliedIndex() const;
-    /// The applied state answers linearizable reads now: this VM leads, holds its lease and has applied what is committed.
+    /// Returns whether the applied state can serve linearizable reads now: this VM leads, holds its lease and has applied all committed
+    /// entries.
     bool hasReadableState(TimePoint now) const;
-    /// Of the applied state: a change shows when it is committed, and so survives the loss of this VM.
+    /// Returns the membership of the applied state: a change becomes visible when it is committed, and so survives the loss of this VM.
     v1::Membership membership() const;
-    /// Errors: Unavailable, Invalid.
+    /// Proposes a membership change and returns its index. Errors: Unavailable, Invalid.
     Result<Index> changeMembership(const v1::Membership &next, TimePoint now);
-    /// Hands leadership to the voter with the longest log, for a graceful shutdown. False when there is nobody to hand it to.
+    /// Transfers leadership to the voter with the longest log, for a graceful shutdown. Returns false when there is no such voter.
     bool transferLeadership(TimePoint now);
 
-    /// Every committed entry, in order, once in the life of the process; the command is empty for the log's own entries.
+    /// Emitted for every committed entry, in order, once per process; the command is empty for the log's own entries.
     sigc::signal<void, Index, Term, const std::string &> &applied();
     sigc::signal<void, const std::optional<VmName> &> &leaderChanged();
-    /// Asks for the applied state as bytes.
+    /// Emitted to get the applied state as bytes.
     sigc::signal<std::string> &snapshotWanted();
-    /// Replaces the applied state.
+    /// Emitted with the bytes of a snapshot that replaces the applied state.
     sigc::signal<void, const std::string &> &snapshotInstalled();
     sigc::signal<void> &flushWanted();
-    /// The disk failed: what it holds is no longer known, and nothing more will be promised. Stop the process.
+    /// Emitted when the disk has failed: its content is unknown, and no further vote or acknowledgement is sent. Stop the process.
     sigc::signal<void, const Error &> &failed();
 
 private:
--- a/src/raft/segment.cpp
+++ b/src/raft/segment.cpp
@@ -11,20 +11,20 @@
 {
 
 constexpr std::string_view FrameMagic = "CdFr";
-constexpr std::string_view HeaderMagic = "CdLog001";
+constexpr std::string_view SegmentMagic = "CdLog001";
 constexpr std::size_t FrameHeaderBytes = 16;
-constexpr std::size_t HeaderBytes = 32;
+constexpr std::size_t SegmentHeaderBytes = 32;
 constexpr std::uint32_t MaxFrameBytes = 256U << 20;
 
-/// Little-endian, so that a data folder may move between machines.
-void put(std::string &bytes, std::uint64_t value, std::size_t size)
+/// Appends an integer in little-endian order, so that a data folder can be moved between machines.
+void appendInteger(std::string &bytes, std::uint64_t value, std::size_t size)
 {
     for (std::size_t i = 0; i < size; ++i) {
         bytes.push_back(static_cast<char>(value >> (8 * i)));
     }
 }
 
-std::uint64_t take(std::string_view bytes, std::size_t offset, std::size_t size)
+std::uint64_t readInteger(std::string_view bytes, std::size_t offset, std::size_t size)
 {
     std::uint64_t value = 0;
     for (std::size_t i = 0; i < size; ++i) {
@@ -33,16 +33,17 @@
     return value;
 }
 
-std::optional<SegmentHeader> decodeHeader(std::string_view bytes)
+std::optional<SegmentHeader> decodeSegmentHeader(std::string_view bytes)
 {
-    if (bytes.size() < HeaderBytes || bytes.substr(0, HeaderMagic.size()) != HeaderMagic || take(bytes, 24, 8) != checksum(bytes.substr(0, 24))) {
+    if (bytes.size() < SegmentHeaderBytes || bytes.substr(0, SegmentMagic.size()) != SegmentMagic
+        || readInteger(bytes, 24, 8) != checksum(bytes.substr(0, 24))) {
         return {};
     }
-    return SegmentHeader{.firstIndex = take(bytes, 8, 8), .previousTerm = take(bytes, 16, 8)};
+    return SegmentHeader{.firstIndex = readInteger(bytes, 8, 8), .previousTerm = readInteger(bytes, 16, 8)};
 }
 
-/// The offset of a whole frame somewhere after an offset.
-std::optional<std::size_t> wholeFrameAfter(std::string_view bytes, std::size_t offset)
+/// Returns the offset of the first valid frame at or after an offset.
+std::optional<std::size_t> findFrame(std::string_view bytes, std::size_t offset)
 {
     for (std::size_t at = bytes.find(FrameMagic, offset); at != std::string_view::npos; at = bytes.find(FrameMagic, at + 1)) {
         if (decodeFrame(bytes, at)) {
@@ -52,8 +53,8 @@
     return {};
 }
 
-/// Entries of a batch follow each other, and no term goes back.
-bool consecutive(const v1::StoredBatch &batch)
+/// Returns whether the entries of a batch have consecutive indexes and non-decreasing terms.
+bool isConsecutive(const v1::StoredBatch &batch)
 {
     if (batch.entries_size() == 0 || batch.entries(0).index() == 0) {
         return false;
@@ -68,10 +69,10 @@
 
 }
 
-Error damaged(const std::string &path, std::size_t offset, const std::string &what)
+Error damagedError(const std::string &path, std::size_t offset, const std::string &problem)
 {
     return Error{ErrorKind::Storage,
-                 path + " is damaged at offset " + std::to_string(offset) + ": " + what
+                 path + " is damaged at offset " + std::to_string(offset) + ": " + problem
                      + ": check the disk, move the data folder away and restart: the VM gets the log from the other replicas; a single replica "
                        "needs a copy of the folder"};
 }
@@ -79,8 +80,8 @@
 std::string encodeFrame(std::string_view payload)
 {
     std::string bytes(FrameMagic);
-    put(bytes, payload.size(), 4);
-    put(bytes, checksum(payload) ^ payload.size(), 8);
+    appendInteger(bytes, payload.size(), 4);
+    appendInteger(bytes, checksum(payload) ^ payload.size(), 8);
     bytes += payload;
     return bytes;
 }
@@ -90,12 +91,12 @@
     if (offset > bytes.size() || bytes.size() - offset < FrameHeaderBytes || bytes.substr(offset, FrameMagic.size()) != FrameMagic) {
         return {};
     }
-    const std::uint64_t length = take(bytes, offset + 4, 4);
+    const std::uint64_t length = readInteger(bytes, offset + 4, 4);
     if (length > MaxFrameBytes || length > bytes.size() - offset - FrameHeaderBytes) {
         return {};
     }
     const std::string_view payload = bytes.substr(offset + FrameHeaderBytes, length);
-    if ((checksum(payload) ^ length) != take(bytes, offset + 8, 8)) {
+    if ((checksum(payload) ^ length) != readInteger(bytes, offset + 8, 8)) {
         return {};
     }
     return Frame{.payload = payload, .end = offset + FrameHeaderBytes + length};
@@ -103,37 +104,37 @@
 
 std::string encodeHeader(const SegmentHeader &header)
 {
-    std::string bytes(HeaderMagic);
-    put(bytes, header.firstIndex, 8);
-    put(bytes, header.previousTerm, 8);
-    put(bytes, checksum(bytes), 8);
+    std::string bytes(SegmentMagic);
+    appendInteger(bytes, header.firstIndex, 8);
+    appendInteger(bytes, header.previousTerm, 8);
+    appendInteger(bytes, checksum(bytes), 8);
     return bytes;
 }
 
 Result<SegmentContent> parseSegment(std::string_view bytes, const std::string &path)
 {
     SegmentContent content;
-    content.header = decodeHeader(bytes);
+    content.header = decodeSegmentHeader(bytes);
     if (!content.header) {
-        if (wholeFrameAfter(bytes, 0)) {
-            return damaged(path, 0, "the header doesn't hold, but entries follow");
+        if (findFrame(bytes, 0)) {
+            return damagedError(path, 0, "the header is invalid, but entries follow");
         }
         return content;
     }
-    content.wholeBytes = HeaderBytes;
+    content.wholeBytes = SegmentHeaderBytes;
     while (content.wholeBytes < bytes.size()) {
         const std::optional<Frame> frame = decodeFrame(bytes, content.wholeBytes);
         if (!frame) {
-            // A torn write is the last one. What comes after a broken frame was written after that one was synced and acknowledged:
-            // to cut here would silently lose acknowledged entries.
-            if (wholeFrameAfter(bytes, content.wholeBytes)) {
-                return damaged(path, content.wholeBytes, "entries follow that were written later");
+            // Only the last write can be torn. A frame after an invalid one was written after the invalid one was synced and acknowledged:
+            // truncating here would silently lose acknowledged entries.
+            if (findFrame(bytes, content.wholeBytes)) {
+                return damagedError(path, content.wholeBytes, "entries follow that were written later");
             }
             return content;
         }
         v1::StoredBatch batch;
-        if (!batch.ParseFromArray(frame->payload.data(), static_cast<int>(frame->payload.size())) || !consecutive(batch)) {
-            return damaged(path, content.wholeBytes, "the checksum holds, but not the entries");
+        if (!batch.ParseFromArray(frame->payload.data(), static_cast<int>(frame->payload.size())) || !isConsecutive(batch)) {
+            return damagedError(path, content.wholeBytes, "the checksum is valid, but the entries are not");
         }
         content.batches.push_back(std::move(batch));
         content.wholeBytes = frame->end;
--- a/src/raft/segment.h
+++ b/src/raft/segment.h
@@ -8,8 +8,8 @@
 namespace cumindyke::raft
 {
 
-/// A frame is one write: its length and checksum, then a message. The next frame is written only after this one is synced. So a frame
-/// that doesn't hold is a torn write, never acknowledged, if nothing whole comes after it, and damage otherwise.
+/// Encodes a payload as a frame: its length and checksum, then the payload. A frame is one write, and the next frame is written only after
+/// this one is synced. So an invalid frame is a torn, never acknowledged write if no valid frame follows, and damage otherwise.
 std::string encodeFrame(std::string_view payload);
 
 struct Frame
@@ -18,10 +18,10 @@
     /// The offset after the frame.
     std::size_t end = 0;
 };
-/// The whole frame at an offset, or none.
+/// Decodes the frame at an offset; empty if there is no valid frame.
 std::optional<Frame> decodeFrame(std::string_view bytes, std::size_t offset);
 
-/// The first bytes of a segment file: where its entries join the log before it.
+/// Header of a segment file: where its entries continue the log.
 struct SegmentHeader
 {
     Index firstIndex = 1;
@@ -33,18 +33,18 @@
 
 struct SegmentContent
 {
-    /// None: the crash came before the header was whole; the file holds nothing.
+    /// Empty if a crash came before the header was complete; the file then holds no entries.
     std::optional<SegmentHeader> header;
-    /// In the order written; one that starts at or before the end of the ones before it replaces what they held from there on.
+    /// In the order written. A batch that starts at or before the end of the earlier batches supersedes their entries from there on.
     std::vector<v1::StoredBatch> batches;
-    /// What comes after it is a torn write.
+    /// Length of the valid part; the bytes after it are a torn write.
     std::size_t wholeBytes = 0;
 };
 
-/// Reads a segment file. Error: Storage, with the offset, when damage is certain.
+/// Parses a segment file. Error: Storage, with the offset, when the file is certainly damaged.
 Result<SegmentContent> parseSegment(std::string_view bytes, const std::string &path);
 
-/// The error for a file that can't be trusted.
-Error damaged(const std::string &path, std::size_t offset, const std::string &what);
+/// Returns the error for a damaged file.
+Error damagedError(const std::string &path, std::size_t offset, const std::string &problem);
 
 }
--- a/src/raft/types.h
+++ b/src/raft/types.h
@@ -13,23 +13,23 @@
 namespace cumindyke::raft
 {
 
-/// Position in the log, from 1; 0 is "before the first entry".
+/// Position in the log, starting at 1; 0 is the position before the first entry.
 using Index = std::uint64_t;
-/// Counts elections.
+/// Election number.
 using Term = std::uint64_t;
 using EntryPointer = std::shared_ptr<const v1::LogEntry>;
 
-/// What a replica has promised in elections; lost, it could vote twice in one term.
+/// The vote of a replica. If it were lost, the replica could vote twice in one term.
 struct Vote
 {
     Term term = 0;
-    /// Empty: nobody yet.
+    /// Empty if no vote was granted in this term.
     VmName votedFor;
 
     auto operator<=>(const Vote &) const = default;
 };
 
-/// The state after applying the log up to an index.
+/// The applied state up to and including an index.
 struct Snapshot
 {
     Index index = 0;
@@ -39,26 +39,27 @@
 };
 using SnapshotPointer = std::shared_ptr<const Snapshot>;
 
-/// The data folder's identity: made once, when the folder is new.
+/// Identity of the data folder, created when the folder is new.
 struct Identity
 {
     std::uint64_t incarnation = 0;
-    /// The replica may vote. A folder that was lost and made anew may not: what the old one promised is forgotten.
+    /// Whether the replica may vote. A replica whose folder was lost and created anew may not, since the votes made from the old folder are
+    /// unknown.
     bool admitted = false;
 
     auto operator<=>(const Identity &) const = default;
 };
 
-/// What must be durable before the promises that come with it are sent, in the order of the members.
+/// Writes that must be durable before Effects::messagesAfterSync are sent, in the order of the members.
 struct Writes
 {
     std::optional<Identity> identity;
     std::optional<Vote> vote;
-    /// A snapshot got from the leader.
+    /// A snapshot received from the leader.
     SnapshotPointer snapshot;
-    /// The log held something else than what the snapshot covers: it starts anew after the snapshot.
+    /// The log contradicts the snapshot and restarts empty after it.
     bool resetLog = false;
-    /// Consecutive; what the log holds from the first one's index on is replaced.
+    /// Consecutive entries; they replace the log from the first one's index on.
     std::vector<EntryPointer> entries;
 
     bool empty() const
@@ -67,34 +68,34 @@
     }
 };
 
-/// What storage held when the process started.
+/// Content of the storage at the start of the process.
 struct Recovered
 {
     Identity identity;
     Vote vote;
-    /// Never null; index 0 holds the first members.
+    /// Never null; a snapshot with index 0 holds the initial membership.
     SnapshotPointer snapshot;
-    /// The entry before the first one.
+    /// Index and term of the entry before the first one in entries.
     Index baseIndex = 0;
     Term baseTerm = 0;
     std::vector<EntryPointer> entries;
 };
 
-/// Durable storage of one replica. After an error the replica stops: what is on the disk is no longer known.
+/// Durable storage of one replica. After an error the replica stops, since the content of the disk is unknown.
 template<typename S>
 concept Storage = requires(S storage, const Writes &writes, const SnapshotPointer &snapshot, Index keepAfter)
 {
-    // Returns when all of it is synced.
+    // Returns when everything is synced.
     {
         storage.persist(writes)
         } -> std::same_as<Result<Done>>;
-    // Saves a snapshot taken here, then drops entries up to keepAfter (some may stay).
+    // Saves a snapshot of this replica's state, then removes entries up to keepAfter (some may stay).
     {
         storage.saveSnapshot(snapshot, keepAfter)
         } -> std::same_as<Result<Done>>;
 };
 
-/// Sends messages to other replicas: lost, repeated, late or reordered as may be, never damaged.
+/// Sends messages to other replicas. Messages may be lost, duplicated, delayed or reordered, but never corrupted.
 template<typename T>
 concept Transport = requires(T transport, v1::RaftMessage message)
 {
--- a/tests/raft/electiontest.cpp
+++ b/tests/raft/electiontest.cpp
@@ -13,30 +13,30 @@
 constexpr TimePoint Start{std::chrono::seconds(100)};
 const std::vector<std::string> Names{"a", "b", "c"};
 
-/// Three voters whose processes have all just restarted, at the end of the same log; messages arrive at the next step.
-class Restarted
+/// Three voters with identical logs whose processes have all just restarted. Messages arrive at the next step.
+class RestartedCluster
 {
 public:
-    Restarted()
+    RestartedCluster()
     {
         for (const std::string &name : Names) {
             m_cores[VmName{name}] = std::make_unique<Core>(CoreOptions{.self = VmName{name}}, recovered(), std::hash<std::string>{}(name), Start);
         }
     }
 
-    void cutOff(const std::string &name)
+    void disconnect(const std::string &name)
     {
         m_cores.erase(VmName{name});
     }
 
-    /// Milliseconds until a replica leads; none within two seconds: -1.
-    int untilLeader()
+    /// Returns the milliseconds until a replica leads; -1 if none does within two seconds.
+    int millisecondsUntilLeader()
     {
-        std::vector<v1::RaftMessage> arriving;
+        std::vector<v1::RaftMessage> inTransit;
         for (int elapsed = 0; elapsed < 2000; elapsed += 10) {
             const TimePoint now = Start + std::chrono::milliseconds(elapsed);
             std::vector<v1::RaftMessage> sent;
-            for (const v1::RaftMessage &message : arriving) {
+            for (const v1::RaftMessage &message : inTransit) {
                 if (const auto to = m_cores.find(VmName{message.to()}); to != m_cores.end()) {
                     to->second->step(message, now);
                 }
@@ -46,12 +46,12 @@
                 const Effects effects = core->takeEffects();
                 core->synced(now);
                 sent.insert(sent.end(), effects.messages.begin(), effects.messages.end());
-                sent.insert(sent.end(), effects.promises.begin(), effects.promises.end());
+                sent.insert(sent.end(), effects.messagesAfterSync.begin(), effects.messagesAfterSync.end());
                 if (core->role() == Core::Role::Leader) {
                     return elapsed;
                 }
             }
-            arriving.swap(sent);
+            inTransit.swap(sent);
         }
         return -1;
     }
@@ -80,21 +80,22 @@
 
 }
 
-// What callers see when all replicas are killed at once and come back: no service for the longest time that a replica may have promised
-// a leader to vote for nobody, half a second and more. All of them say that they don't lead, so no leader is left to whom it holds.
-TEST_CASE("replicas that all restarted elect a leader without waiting for a leader that is gone")
+// When all replicas are killed and restarted at once, callers get no service for half a second or more if every replica waits for the
+// longest promise it may have made to a leader to withhold its vote. Here all replicas deny leading, so no leader is left that could rely
+// on such a promise.
+TEST_CASE("replicas that all restarted elect a leader without waiting for old vote promises to expire")
 {
-    Restarted cluster;
-    const int elapsed = cluster.untilLeader();
+    RestartedCluster cluster;
+    const int elapsed = cluster.millisecondsUntilLeader();
     CHECK(elapsed >= 0);
     CHECK(elapsed <= 150);
 }
 
-// What callers would see otherwise: a key that was taken away goes on working. Two of three restart; the third, cut off, may still lead
-// and answer reads under the promise that one of them made before it restarted.
-TEST_CASE("while one voter is silent, restarted replicas wait out what they may have promised it")
+// Guards against a stale read: a revoked key that still works. Two of three replicas restart; the third is partitioned and may still lead
+// and serve reads under a promise that one of them made before its restart.
+TEST_CASE("restarted replicas wait for old vote promises to expire while one voter does not reply")
 {
-    Restarted cluster;
-    cluster.cutOff("b");
-    CHECK(cluster.untilLeader() >= 750);
+    RestartedCluster cluster;
+    cluster.disconnect("b");
+    CHECK(cluster.millisecondsUntilLeader() >= 750);
 }
--- a/tests/raft/fakefilesystem.h
+++ b/tests/raft/fakefilesystem.h
@@ -11,8 +11,8 @@
 namespace cumindyke::raft::test
 {
 
-/// Files in memory. A crash or a failure can be set for the n-th operation from now; what a crash keeps of an unfinished write, and of
-/// names that were not synced, is random.
+/// In-memory files. A crash or an error can be scheduled for the n-th operation from now. What a crash keeps of an unfinished write and of
+/// unsynced names is random.
 class FakeFileSystem
 {
 public:
@@ -25,23 +25,23 @@
 
     void crashAfter(int operations)
     {
-        m_left = operations;
-        m_crash = true;
+        m_operationsLeft = operations;
+        m_isCrash = true;
     }
-    /// For example a full disk: the operation does nothing and says so.
+    /// Schedules an error, for example a full disk: the operation has no effect and returns an error.
     void failAfter(int operations)
     {
-        m_left = operations;
-        m_crash = false;
+        m_operationsLeft = operations;
+        m_isCrash = false;
     }
-    /// The machine starts again with what the disk has kept.
+    /// Restarts the machine with the content that the disk has kept.
     void restart()
     {
-        if (m_down && m_random() % 2 == 0) {
+        if (m_hasFailed && m_random() % 2 == 0) {
             files = m_syncedNames;
         }
-        m_down = false;
-        m_left = -1;
+        m_hasFailed = false;
+        m_operationsLeft = -1;
         m_syncedNames = files;
     }
 
@@ -63,24 +63,24 @@
     }
     Result<Done> write(const std::string &path, std::uint64_t offset, std::string_view bytes)
     {
-        const bool fails = failing();
-        if (fails && !m_crash) {
+        const bool fails = nextOperationFails();
+        if (fails && !m_isCrash) {
             return Error{ErrorKind::Storage, "can't write to " + path + ": No space left on device"};
         }
         const std::size_t kept = fails ? m_random() % (bytes.size() + 1) : bytes.size();
         std::string &content = files[path];
         content.resize(offset);
         content += bytes.substr(0, kept);
-        // The content of a file whose name is known is synced by the write itself.
+        // The write itself syncs the content of a file whose name is already synced.
         if (m_syncedNames.contains(path)) {
             m_syncedNames[path] = content;
         }
-        return fails ? Result<Done>(crashed()) : Done{};
+        return fails ? Result<Done>(crashError()) : Done{};
     }
     Result<Done> truncate(const std::string &path, std::uint64_t size)
     {
-        if (failing()) {
-            return crashed();
+        if (nextOperationFails()) {
+            return crashError();
         }
         files.at(path).resize(size);
         m_syncedNames = files;
@@ -88,8 +88,8 @@
     }
     Result<Done> rename(const std::string &from, const std::string &to)
     {
-        if (failing()) {
-            return crashed();
+        if (nextOperationFails()) {
+            return crashError();
         }
         files[to] = files.at(from);
         files.erase(from);
@@ -97,38 +97,38 @@
     }
     Result<Done> remove(const std::string &path)
     {
-        if (failing()) {
-            return crashed();
+        if (nextOperationFails()) {
+            return crashError();
         }
         files.erase(path);
         return Done{};
     }
     Result<Done> syncFolder(const std::string & /*path*/)
     {
-        if (failing()) {
-            return crashed();
+        if (nextOperationFails()) {
+            return crashError();
         }
         m_syncedNames = files;
         return Done{};
     }
 
 private:
-    bool failing()
+    bool nextOperationFails()
     {
-        m_down = m_down || m_left == 0;
-        m_left -= m_left > 0 ? 1 : 0;
-        return m_down;
+        m_hasFailed = m_hasFailed || m_operationsLeft == 0;
+        m_operationsLeft -= m_operationsLeft > 0 ? 1 : 0;
+        return m_hasFailed;
     }
-    static Error crashed()
+    static Error crashError()
     {
         return Error{ErrorKind::Storage, "crashed"};
     }
 
     std::mt19937_64 m_random;
     std::map<std::string, std::string> m_syncedNames;
-    int m_left = -1;
-    bool m_crash = true;
-    bool m_down = false;
+    int m_operationsLeft = -1;
+    bool m_isCrash = true;
+    bool m_hasFailed = false;
 };
 
 }
--- a/tests/raft/history.cpp
+++ b/tests/raft/history.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// In the order in which events of one moment are checked.
+/// In the order in which simultaneous events are checked.
 enum class EventKind {
     Acknowledged,
     Read,
@@ -18,7 +18,7 @@
 
 using Event = std::tuple<TimePoint, EventKind, Index>;
 
-/// Whatever is seen or acknowledged at a time must be before, in the log, whatever is invoked later; and reads don't go back.
+/// Checks that every entry read or acknowledged at some time precedes, in the log, every entry invoked later, and that reads never go back.
 void checkRealTime(std::vector<Event> &events)
 {
     std::ranges::sort(events);
@@ -38,24 +38,24 @@
 
 std::size_t checkHistory(const std::map<Index, std::string> &commands, const std::vector<ClientAppend> &appends, const std::vector<ClientRead> &reads)
 {
-    std::map<std::string, Index> place;
+    std::map<std::string, Index> indexOf;
     for (const auto &[index, command] : commands) {
-        if (!command.empty() && !place.emplace(command, index).second) {
+        if (!command.empty() && !indexOf.emplace(command, index).second) {
             throw CheckFailed(command + " was applied twice");
         }
     }
     std::size_t acknowledged = 0;
     std::vector<Event> events;
     for (const ClientAppend &append : appends) {
-        const auto found = place.find(append.command);
-        if (append.acknowledged && found == place.end()) {
-            throw CheckFailed(append.command + " was acknowledged and is lost");
+        const auto found = indexOf.find(append.command);
+        if (append.acknowledged && found == indexOf.end()) {
+            throw CheckFailed(append.command + " was acknowledged but is not in the log");
         }
         if (append.acknowledged) {
             ++acknowledged;
             events.emplace_back(*append.acknowledged, EventKind::Acknowledged, found->second);
         }
-        if (found != place.end()) {
+        if (found != indexOf.end()) {
             events.emplace_back(append.invoked, EventKind::Invoked, found->second);
         }
     }
--- a/tests/raft/history.h
+++ b/tests/raft/history.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-/// What clients of the log saw, and the check that it is linearizable.
+/// The history of the log's clients and the check that it is linearizable.
 namespace cumindyke::raft::test
 {
 
@@ -30,8 +30,8 @@
     Index index;
 };
 
-/// The log's order is the order of the history: what was acknowledged is in it once, and real time agrees with it. Throws CheckFailed;
-/// returns how many appends were acknowledged.
+/// Checks that every acknowledged command is in the log exactly once and that the order of the log agrees with real time. Throws
+/// CheckFailed; returns the number of acknowledged appends.
 std::size_t checkHistory(const std::map<Index, std::string> &commands, const std::vector<ClientAppend> &appends, const std::vector<ClientRead> &reads);
 
 }
--- a/tests/raft/historytest.cpp
+++ b/tests/raft/historytest.cpp
@@ -11,51 +11,52 @@
 {
 
 constexpr std::uint64_t SeedsPerCase = 125;
-constexpr std::uint64_t PlantedSeeds = 2000;
+constexpr std::uint64_t InjectedFaultSeeds = 2000;
 
-/// scripts/soak runs other seeds than CI: CUMINDYKE_FIRST_SEED moves all of them.
+/// First seed; scripts/soak sets CUMINDYKE_FIRST_SEED to run other seeds than CI.
 std::uint64_t firstSeed()
 {
     const char *text = std::getenv("CUMINDYKE_FIRST_SEED");
     return text ? std::strtoull(text, nullptr, 10) : 1;
 }
 
-/// What the callers see: commands are answered, then replicas crash in the middle of a sync, lose data folders, are cut off one way or
-/// both, messages are lost, repeated and late, and leaders hand over. No acknowledged command may be lost or run twice, no term may have
-/// two leaders, replicas must hold the same state at the same index, and reads must see all that was acknowledged before.
-void runSeeds(std::uint64_t part, Faults faults = Faults::Usual)
+/// Runs histories in which clients append and read while replicas crash in the middle of a sync, lose data folders and are partitioned one
+/// way or both, messages are lost, duplicated and delayed, and leaders transfer leadership. No acknowledged command may be lost or applied
+/// twice, no term may have two leaders, replicas must have the same state at the same index, and reads must see everything that was
+/// acknowledged before.
+void runSeeds(std::uint64_t part, FaultProfile faultProfile = FaultProfile::Usual)
 {
     SimulationResult sum;
     for (std::uint64_t i = 0; i < SeedsPerCase; ++i) {
         const std::uint64_t seed = firstSeed() + part * SeedsPerCase + i;
-        const SimulationResult result = simulate(seed, Planted::Nothing, faults);
+        const SimulationResult result = simulate(seed, InjectedFault::None, faultProfile);
         INFO("seed " << seed);
-        CHECK_THAT(result.fault, Catch::Matchers::Equals(""));
+        CHECK_THAT(result.failedCheck, Catch::Matchers::Equals(""));
         sum.acknowledged += result.acknowledged;
         sum.reads += result.reads;
         sum.leaders += result.leaders;
         sum.membershipChanges += result.membershipChanges;
         sum.installs += result.installs;
     }
-    // The histories must be worth something: a simulation in which nothing happens passes every check.
+    // Guard against vacuous histories: a simulation in which nothing happens passes every check.
     CHECK(sum.acknowledged > SeedsPerCase * 50);
     CHECK(sum.reads > SeedsPerCase * 30);
     CHECK(sum.leaders > SeedsPerCase * 3);
     CHECK(sum.membershipChanges > SeedsPerCase);
     CHECK(sum.installs > SeedsPerCase);
     WARN("acknowledged " << sum.acknowledged << ", reads " << sum.reads << ", leaders " << sum.leaders << ", membership changes " << sum.membershipChanges
-                         << ", snapshots loaded " << sum.installs);
+                         << ", snapshots installed " << sum.installs);
 }
 
-/// The number of seeds, of the first ones, whose checks fail.
+/// Returns how many of the first InjectedFaultSeeds seeds fail a check.
 template<typename Order>
-std::size_t faultsFound(Planted planted, Faults faults = Faults::Usual)
+std::size_t countDetections(InjectedFault injectedFault, FaultProfile faultProfile = FaultProfile::Usual)
 {
     std::size_t found = 0;
-    for (std::uint64_t seed = 1; seed <= PlantedSeeds; ++seed) {
-        found += simulate<Order>(seed, planted, faults).fault.empty() ? 0 : 1;
+    for (std::uint64_t seed = 1; seed <= InjectedFaultSeeds; ++seed) {
+        found += simulate<Order>(seed, injectedFault, faultProfile).failedCheck.empty() ? 0 : 1;
     }
-    WARN(found << " of " << PlantedSeeds << " seeds found it");
+    WARN(found << " of " << InjectedFaultSeeds << " seeds detected it");
     return found;
 }
 
@@ -101,31 +102,31 @@
     runSeeds(7);
 }
 
-// The checks can fail: each of these breaks a rule that the log stands on, and some seed must show it.
-TEST_CASE("the histories find an acknowledgement before the sync")
+// These tests show that the checks can fail: each breaks a rule that the log relies on, and at least one seed must detect it.
+TEST_CASE("the histories detect an acknowledgement before the sync")
 {
-    CHECK(faultsFound<PromiseThenSync>(Planted::Nothing) > 0);
+    CHECK(countDetections<SendThenSync>(InjectedFault::None) > 0);
 }
 
-TEST_CASE("the histories find a vote that a restart forgets")
+TEST_CASE("the histories detect a vote that is lost in a restart")
 {
-    CHECK(faultsFound<SyncThenPromise>(Planted::ForgetVote) > 0);
+    CHECK(countDetections<SyncThenSend>(InjectedFault::VoteLost) > 0);
 }
 
-TEST_CASE("the histories find a wiped replica that votes as the old one")
+TEST_CASE("the histories detect a wiped replica that votes under its old identity")
 {
-    CHECK(faultsFound<SyncThenPromise>(Planted::WipeKeepsVoting) > 0);
+    CHECK(countDetections<SyncThenSend>(InjectedFault::WipedReplicaVotes) > 0);
 }
 
-// What callers would see: a key that was taken away goes on working. Replicas that restarted together elect a leader at once when all say that
-// they don't lead; one that is cut off meanwhile says nothing, and may still answer reads.
-TEST_CASE("seeded histories with common restarts")
+// Guards against a stale read: a revoked key that still works. Replicas that restart at the same time elect a leader at once if all deny
+// leading; a partitioned one sends no reply and may still serve reads.
+TEST_CASE("seeded histories with simultaneous restarts")
 {
-    runSeeds(0, Faults::CommonRestarts);
-    runSeeds(1, Faults::CommonRestarts);
+    runSeeds(0, FaultProfile::SimultaneousRestarts);
+    runSeeds(1, FaultProfile::SimultaneousRestarts);
 }
 
-TEST_CASE("the histories find a promise that a restart forgets")
+TEST_CASE("the histories detect a vote promise that is lost in a restart")
 {
-    CHECK(faultsFound<SyncThenPromise>(Planted::ForgetPromise, Faults::CommonRestarts) > 0);
+    CHECK(countDetections<SyncThenSend>(InjectedFault::PromiseLost, FaultProfile::SimultaneousRestarts) > 0);
 }
--- a/tests/raft/processtest.cpp
+++ b/tests/raft/processtest.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-std::vector<std::string> changes(int count)
+std::vector<std::string> changeIds(int count)
 {
     std::vector<std::string> ids;
     for (int i = 1; i <= count; ++i) {
@@ -19,20 +19,20 @@
     return ids;
 }
 
-/// Until the folder's log was written to after the restart, and its replica votes: two of three need it then.
-bool hasLeader(const ReplicaCluster &cluster)
+/// Waits until a leader is known; returns whether there is one.
+bool waitForLeader(const ReplicaCluster &cluster)
 {
     return eventually([&] { return cluster.leader() != 0; });
 }
 
 }
 
-// Operators apply changes while the leader is killed, twice. Each change is sent again with its id until it is answered. No answered change
-// may be missing, none may be there twice, and a resend after all that gets the first answer.
+// Operators apply changes while the leader is killed twice. Each change is resent with its id until it is answered. No acknowledged change
+// may be missing or applied twice, and a resend at the end gets the first answer.
 TEST_CASE("five daemons keep every acknowledged change when leaders are killed")
 {
     ReplicaCluster cluster(5, 5);
-    REQUIRE(hasLeader(cluster));
+    REQUIRE(waitForLeader(cluster));
     std::vector<std::uint64_t> revisions;
     for (int i = 1; i <= 60; ++i) {
         if (i == 20 || i == 40) {
@@ -42,7 +42,7 @@
         }
         revisions.push_back(cluster.change(i));
     }
-    CHECK(cluster.history() == changes(60));
+    CHECK(cluster.history() == changeIds(60));
     v1::ApplyRequest resend;
     resend.set_command_id("change-1");
     REQUIRE(eventually([&] {
@@ -51,12 +51,12 @@
     }));
 }
 
-// A replica is down while 500 changes go by. It must get them when it is back: then another replica is killed, and with two of three left
-// changes are accepted only if the one that came back takes part.
-TEST_CASE("a replica that missed 500 changes catches up and counts again")
+// A replica is down while 500 changes are applied. It must receive them after its restart: then another replica is killed, and the
+// remaining two of three accept changes only if the restarted one takes part.
+TEST_CASE("a replica that missed 500 changes catches up and counts towards the quorum")
 {
     ReplicaCluster cluster(3, 3);
-    REQUIRE(hasLeader(cluster));
+    REQUIRE(waitForLeader(cluster));
     cluster.change(1);
     cluster.kill(3);
     for (int i = 2; i <= 500; ++i) {
@@ -66,16 +66,16 @@
     cluster.change(501);
     cluster.kill(1);
     cluster.change(502);
-    CHECK(cluster.history() == changes(502));
+    CHECK(cluster.history() == changeIds(502));
     CHECK(cluster.voters() == std::set<int>{1, 2, 3});
 }
 
-// A replica comes back with an empty disk. As a voter it could vote twice in a term, and what it had acknowledged is gone: it must come
-// back as a learner. When it is a voter again, another replica is lost at once, and nothing acknowledged may be missing.
-TEST_CASE("a replica with a wiped disk is admitted anew, and the next loss is survived")
+// A replica restarts with an empty disk. As a voter it could vote twice in a term, and the entries it acknowledged are lost, so it must
+// rejoin as a learner. As soon as it is a voter again, another replica is killed, and no acknowledged change may be missing.
+TEST_CASE("a replica with a wiped disk is admitted again, and the cluster survives the next loss")
 {
     ReplicaCluster cluster(3, 3);
-    REQUIRE(hasLeader(cluster));
+    REQUIRE(waitForLeader(cluster));
     for (int i = 1; i <= 10; ++i) {
         cluster.change(i);
     }
@@ -88,15 +88,15 @@
     REQUIRE(eventually([&] { return cluster.voters() == std::set<int>{1, 2, 3}; }));
     cluster.kill(cluster.leader() == 1 ? 1 : 2);
     cluster.change(12);
-    CHECK(cluster.history() == changes(12));
+    CHECK(cluster.history() == changeIds(12));
 }
 
-// A replica's VM is lost for good. Another VM with a disk takes its place without anybody's doing, and right after that a second replica
-// is lost: with the new one, two of three remain, and every acknowledged change is there.
-TEST_CASE("a lost replica is replaced by another VM, and a second loss right after is survived")
+// A replica's VM is gone for good. Another VM with a disk replaces it without operator action, and then a second replica is killed: with
+// the new one, two of three remain and hold every acknowledged change.
+TEST_CASE("a lost replica is replaced by another VM, and the cluster survives a second loss right after")
 {
     ReplicaCluster cluster(5, 3, "replace_replica_after_ms = 1000\n");
-    REQUIRE(hasLeader(cluster));
+    REQUIRE(waitForLeader(cluster));
     for (int i = 1; i <= 10; ++i) {
         cluster.change(i);
     }
@@ -108,5 +108,5 @@
     }));
     cluster.kill(cluster.leader() == 1 ? 1 : 2);
     cluster.change(12);
-    CHECK(cluster.history() == changes(12));
+    CHECK(cluster.history() == changeIds(12));
 }
--- a/tests/raft/replicacluster.cpp
+++ b/tests/raft/replicacluster.cpp
@@ -22,14 +22,14 @@
 
 }
 
-ReplicaCluster::ReplicaCluster(int daemons, int replicas, const std::string &more)
+ReplicaCluster::ReplicaCluster(int daemons, int replicas, const std::string &extraSettings)
 {
     std::string names;
     for (int vm = 1; vm <= replicas; ++vm) {
         names += std::string(vm == 1 ? "" : ", ") + "\"vm-" + std::to_string(vm) + "\"";
     }
     for (int self = 1; self <= daemons; ++self) {
-        std::string settings = more;
+        std::string settings = extraSettings;
         settings.append("replicas = [").append(names).append("]\n");
         for (int peer = 1; peer <= daemons; ++peer) {
             if (peer != self) {
@@ -114,8 +114,8 @@
     organisation.set_highest_tier("committee");
     REQUIRE(eventually([&] {
         const std::vector<int> vms = running();
-        const int asked = vms[m_nextAsked++ % vms.size()];
-        const auto reply = OperatorClient(daemon(asked).rpc(), CallTimeout).apply(request);
+        const int contacted = vms[m_nextContacted++ % vms.size()];
+        const auto reply = OperatorClient(daemon(contacted).rpc(), CallTimeout).apply(request);
         if (!ok(reply)) {
             return false;
         }
--- a/tests/raft/replicacluster.h
+++ b/tests/raft/replicacluster.h
@@ -12,26 +12,26 @@
 namespace cumindyke::test
 {
 
-/// Daemons "vm-1" to "vm-N", all with a disk; the first ones hold the first replicas of the log.
+/// Daemons "vm-1" to "vm-N", all with a disk; the first ones are the initial replicas of the log.
 class ReplicaCluster
 {
 public:
-    ReplicaCluster(int daemons, int replicas, const std::string &more = {});
+    ReplicaCluster(int daemons, int replicas, const std::string &extraSettings = {});
 
-    /// kill -9.
+    /// Kills the daemon with SIGKILL.
     void kill(int vm);
     void restart(int vm);
-    /// Removes the data folder of a VM that is down.
+    /// Removes the data folder of a VM whose daemon is not running.
     void wipe(int vm);
-    /// The VM that leads, asked at any VM that runs; 0 when none says.
+    /// Returns the number of the leader's VM as reported by any running VM; 0 when none reports a leader.
     int leader() const;
-    /// Voters that the leader names.
+    /// Returns the voters that the leader reports.
     std::set<int> voters() const;
 
-    /// Adds an organisation under a command id, and sends it again, to one VM after the other, until it is answered.
+    /// Adds an organisation with a command id derived from the number; resends the command to one VM after the other until it is answered.
     /// Returns the revision.
     std::uint64_t change(int number);
-    /// The command ids accepted so far, oldest first.
+    /// Returns the ids of the accepted commands, oldest first.
     std::vector<std::string> history() const;
     DaemonProcess &daemon(int vm)
     {
@@ -44,14 +44,14 @@
 
 private:
     std::vector<int> running() const;
-    /// Of any VM that runs and answers; empty when none does.
+    /// Returns the reply of any running VM; empty when none replies.
     v1::MembersReply members() const;
 
     TemporaryFolder m_folder;
     TestNetwork m_network;
     std::vector<std::unique_ptr<DaemonProcess>> m_daemons;
     std::uint64_t m_revision = 0;
-    std::size_t m_nextAsked = 0;
+    std::size_t m_nextContacted = 0;
 };
 
 }
--- a/tests/raft/simulateddisk.cpp
+++ b/tests/raft/simulateddisk.cpp
@@ -6,7 +6,7 @@
 namespace cumindyke::raft::test
 {
 
-std::size_t SimulatedDisk::kept(std::size_t count)
+std::size_t SimulatedDisk::keptCount(std::size_t count)
 {
     return crashInNextSync ? (*random)() % (count + 1) : count;
 }
@@ -29,7 +29,7 @@
 
 Result<Done> SimulatedDisk::persist(const Writes &writes)
 {
-    const std::size_t steps = kept(4);
+    const std::size_t steps = keptCount(4);
     if (writes.identity && steps >= 1) {
         content.identity = *writes.identity;
     }
@@ -40,7 +40,7 @@
         install(writes);
     }
     if (steps >= 4) {
-        const std::size_t entries = kept(writes.entries.size());
+        const std::size_t entries = keptCount(writes.entries.size());
         for (std::size_t i = 0; i < entries; ++i) {
             append(writes.entries[i]);
         }
@@ -53,7 +53,7 @@
 
 Result<Done> SimulatedDisk::saveSnapshot(const SnapshotPointer &snapshot, Index keepAfter)
 {
-    if (crashInNextSync && kept(1) == 0) {
+    if (crashInNextSync && keptCount(1) == 0) {
         return Error{ErrorKind::Storage, "crashed"};
     }
     content.snapshot = snapshot;
--- a/tests/raft/simulatednetwork.cpp
+++ b/tests/raft/simulatednetwork.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-constexpr std::uint64_t SlowDelay = 300'000;
+constexpr std::uint64_t SlowMaxDelay = 300'000;
 
 }
 
@@ -14,17 +14,18 @@
 {
     const int copies = m_faulty && m_random.chance(20) ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
-        if (m_faulty && m_random.chance(m_lossInThousand)) {
+        if (m_faulty && m_random.chance(m_lossPermille)) {
             continue;
         }
-        const std::uint64_t late = !m_faulty || m_random.chance(960) ? m_delay : m_random.chance(700) ? 400'000 : 3'000'000;
-        m_inFlight.push(InFlight{.at = now + Duration(static_cast<Duration::rep>(500 + m_random.below(late))), .sequence = ++m_sequence, .message = message});
+        const std::uint64_t maxDelay = !m_faulty || m_random.chance(960) ? m_maxDelay : m_random.chance(700) ? 400'000 : 3'000'000;
+        m_inFlight.push(
+            InFlight{.arrivesAt = now + Duration(static_cast<Duration::rep>(500 + m_random.below(maxDelay))), .sequence = ++m_sequence, .message = message});
     }
 }
 
-std::optional<v1::RaftMessage> SimulatedNetwork::arrived(TimePoint now)
+std::optional<v1::RaftMessage> SimulatedNetwork::nextArrived(TimePoint now)
 {
-    while (!m_inFlight.empty() && m_inFlight.top().at <= now) {
+    while (!m_inFlight.empty() && m_inFlight.top().arrivesAt <= now) {
         v1::RaftMessage message = m_inFlight.top().message;
         m_inFlight.pop();
         if (!m_blocked.contains({message.from(), message.to()})) {
@@ -34,7 +35,7 @@
     return {};
 }
 
-void SimulatedNetwork::cutOff(const VmName &vm, const std::vector<VmName> &others, bool in, bool out)
+void SimulatedNetwork::isolate(const VmName &vm, const std::vector<VmName> &others, bool in, bool out)
 {
     for (const VmName &other : others) {
         if (out) {
@@ -46,7 +47,7 @@
     }
 }
 
-void SimulatedNetwork::split(const std::vector<VmName> &vms)
+void SimulatedNetwork::partition(const std::vector<VmName> &vms)
 {
     const std::uint64_t sides = m_random.generator()();
     for (std::size_t i = 0; i < vms.size(); ++i) {
@@ -58,12 +59,12 @@
     }
 }
 
-void SimulatedNetwork::turn()
+void SimulatedNetwork::changeConditions()
 {
-    m_lossInThousand = m_random.chance(300) ? 100 : 5;
-    m_delay = m_random.chance(200) ? SlowDelay : FastDelay;
+    m_lossPermille = m_random.chance(300) ? 100 : 5;
+    m_maxDelay = m_random.chance(200) ? SlowMaxDelay : FastMaxDelay;
     if (m_random.chance(400)) {
-        join();
+        endPartitions();
     }
 }
 
@@ -71,14 +72,14 @@
 {
     m_faulty = faulty;
     if (!faulty) {
-        m_delay = FastDelay;
-        join();
+        m_maxDelay = FastMaxDelay;
+        endPartitions();
     }
 }
 
 bool SimulatedNetwork::isSlow() const
 {
-    return m_delay != FastDelay;
+    return m_maxDelay != FastMaxDelay;
 }
 
 }
--- a/tests/raft/simulatednetwork.h
+++ b/tests/raft/simulatednetwork.h
@@ -17,7 +17,7 @@
 namespace cumindyke::raft::test
 {
 
-/// All that a history draws, from its seed.
+/// Source of all random values of a history, seeded by its seed.
 class SeededRandom
 {
 public:
@@ -30,9 +30,9 @@
     {
         return m_generator() % limit;
     }
-    bool chance(std::uint64_t inThousand)
+    bool chance(std::uint64_t permille)
     {
-        return below(1000) < inThousand;
+        return below(1000) < permille;
     }
     std::mt19937_64 &generator()
     {
@@ -43,7 +43,7 @@
     std::mt19937_64 m_generator;
 };
 
-/// Carries messages late, twice, out of order or not at all, and not between VMs that are cut off from each other.
+/// Delays, duplicates, reorders and loses messages, and drops those between partitioned VMs.
 class SimulatedNetwork
 {
 public:
@@ -53,45 +53,45 @@
     }
 
     void post(const v1::RaftMessage &message, TimePoint now);
-    /// The next message that has arrived; one between VMs that are cut off by then is lost.
-    std::optional<v1::RaftMessage> arrived(TimePoint now);
+    /// Returns the next message that has arrived. Messages between VMs that are partitioned by then are dropped.
+    std::optional<v1::RaftMessage> nextArrived(TimePoint now);
 
     bool isBlocked(const VmName &from, const VmName &to) const
     {
         return m_blocked.contains({from.value, to.value});
     }
-    void cutOff(const VmName &vm, const std::vector<VmName> &others, bool in, bool out);
-    /// Each VM is on one of two sides, drawn by lot.
-    void split(const std::vector<VmName> &vms);
-    void join()
+    void isolate(const VmName &vm, const std::vector<VmName> &others, bool in, bool out);
+    /// Splits the network: each VM is randomly assigned to one of two sides.
+    void partition(const std::vector<VmName> &vms);
+    void endPartitions()
     {
         m_blocked.clear();
     }
-    /// Losses and delays, drawn anew.
-    void turn();
+    /// Chooses new random loss rates and delays, and sometimes ends all partitions.
+    void changeConditions();
     void setFaulty(bool faulty);
     bool isSlow() const;
 
 private:
-    static constexpr std::uint64_t FastDelay = 4'000;
+    static constexpr std::uint64_t FastMaxDelay = 4'000;
 
     struct InFlight
     {
-        TimePoint at;
+        TimePoint arrivesAt;
         std::uint64_t sequence;
         v1::RaftMessage message;
 
         bool operator>(const InFlight &other) const
         {
-            return std::tie(at, sequence) > std::tie(other.at, other.sequence);
+            return std::tie(arrivesAt, sequence) > std::tie(other.arrivesAt, other.sequence);
         }
     };
 
     SeededRandom &m_random;
     bool m_faulty = false;
-    std::uint64_t m_lossInThousand = 5;
-    /// Microseconds.
-    std::uint64_t m_delay = FastDelay;
+    std::uint64_t m_lossPermille = 5;
+    /// Maximum delay of most messages, in microseconds.
+    std::uint64_t m_maxDelay = FastMaxDelay;
     std::priority_queue<InFlight, std::vector<InFlight>, std::greater<>> m_inFlight;
     std::uint64_t m_sequence = 0;
     std::set<std::pair<std::string, std::string>> m_blocked;
--- a/tests/raft/simulation.cpp
+++ b/tests/raft/simulation.cpp
@@ -14,12 +14,12 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration Step = 1ms;
+constexpr Duration StepInterval = 1ms;
 constexpr Duration TickInterval = 50ms;
-constexpr Duration FaultyPart = 30s;
-constexpr Duration HealedPart = 90s;
-constexpr std::size_t Voters = 5;
-constexpr std::size_t Vms = 7;
+constexpr Duration FaultDuration = 30s;
+constexpr Duration ConvergenceTimeout = 90s;
+constexpr std::size_t VoterCount = 5;
+constexpr std::size_t VmCount = 7;
 constexpr SnapshotPolicy Snapshots{.every = 40, .keep = 10};
 
 VmName vmName(std::size_t number)
@@ -31,23 +31,23 @@
 class Simulation
 {
 public:
-    Simulation(std::uint64_t seed, Planted planted, Faults faults)
+    Simulation(std::uint64_t seed, InjectedFault injectedFault, FaultProfile faultProfile)
         : m_random(seed)
-        , m_planted(planted)
-        , m_faults(faults)
+        , m_injectedFault(injectedFault)
+        , m_faultProfile(faultProfile)
         , m_network(m_random)
     {
         v1::Membership first;
-        for (std::size_t i = 0; i < Voters; ++i) {
+        for (std::size_t i = 0; i < VoterCount; ++i) {
             first.add_voters(vmName(i).value);
         }
-        for (std::size_t i = 0; i < Vms; ++i) {
+        for (std::size_t i = 0; i < VmCount; ++i) {
             auto node = std::make_unique<Node>();
             node->name = vmName(i);
             node->disk.random = &m_random.generator();
             node->clockOffset = Duration(static_cast<Duration::rep>(m_random.below(100'000'000)));
             node->clockRate = 960 + static_cast<Duration::rep>(m_random.below(81));
-            newFolder(*node, i < Voters ? first : v1::Membership{}, i < Voters);
+            resetFolder(*node, i < VoterCount ? first : v1::Membership{}, i < VoterCount);
             m_nodes.push_back(std::move(node));
         }
         for (const auto &node : m_nodes) {
@@ -64,7 +64,7 @@
             m_result.acknowledged = m_checks.checkAll();
             m_result.reads = m_checks.reads();
         } catch (const CheckFailed &failed) {
-            m_result.fault = failed.what();
+            m_result.failedCheck = failed.what();
         }
         m_result.leaders = m_checks.leaders();
         return m_result;
@@ -80,14 +80,14 @@
         std::unique_ptr<Replica<SimulatedDisk, SimulatedTransport, SimulatedState, Order>> replica;
         std::unique_ptr<Repair> repair;
         Duration clockOffset{};
-        /// Thousandths of real time.
+        /// Clock rate in thousandths of real time.
         Duration::rep clockRate = 1000;
         TimePoint nextTick;
         TimePoint startAt;
         TimePoint crashAt = TimePoint::max();
-        Duration downFor{};
-        TimePoint heardLeader;
-        /// Its own proposals by index, to acknowledge when they are applied.
+        Duration downTime{};
+        TimePoint lastLeaderSeenAt;
+        /// Term and number of this node's own proposals by index; acknowledged when they are applied.
         std::map<Index, std::pair<Term, std::size_t>> proposed;
     };
 
@@ -96,7 +96,7 @@
         return TimePoint(node.clockOffset + now.time_since_epoch() * node.clockRate / 1000);
     }
 
-    void newFolder(Node &node, const v1::Membership &membership, bool admitted)
+    void resetFolder(Node &node, const v1::Membership &membership, bool admitted)
     {
         auto snapshot = std::make_shared<Snapshot>();
         snapshot->membership = membership;
@@ -115,7 +115,7 @@
             content.baseIndex = content.snapshot->index;
             content.baseTerm = content.snapshot->term;
         }
-        if (m_planted == Planted::ForgetVote) {
+        if (m_injectedFault == InjectedFault::VoteLost) {
             content.vote.votedFor = {};
         }
         node.disk.crashInNextSync = false;
@@ -123,30 +123,30 @@
         node.state = SimulatedState{};
         node.state.applied = [this, &node](const v1::LogEntry &entry, std::uint64_t sum) { applied(node, entry, sum); };
         node.state.installed = [this](Index index, std::uint64_t sum) { installed(index, sum); };
-        const CoreOptions options{.self = node.name, .maxBatchBytes = 64, .maxInFlight = 4, .chunkBytes = 24, .maxPromotionLag = 8};
+        const CoreOptions options{.self = node.name, .maxBatchBytes = 64, .maxInFlightAppends = 4, .maxChunkBytes = 24, .maxPromotionLag = 8};
         node.replica = std::make_unique<Replica<SimulatedDisk, SimulatedTransport, SimulatedState, Order>>(
-            options, content, m_random.generator()(), bootTime(node), Snapshots, node.disk, node.transport, node.state);
-        node.repair = std::make_unique<Repair>(RepairOptions{.voters = Voters, .lostAfter = 4s, .offerHolds = 3s});
+            options, content, m_random.generator()(), perceivedStartTime(node), Snapshots, node.disk, node.transport, node.state);
+        node.repair = std::make_unique<Repair>(RepairOptions{.targetVoters = VoterCount, .memberTimeout = 4s, .offerTimeout = 3s});
         node.nextTick = m_now;
-        node.heardLeader = m_now;
+        node.lastLeaderSeenAt = m_now;
     }
 
-    TimePoint bootTime(const Node &node) const
+    TimePoint perceivedStartTime(const Node &node) const
     {
         const TimePoint now = localTime(node, m_now);
-        return m_planted == Planted::ForgetVote || m_planted == Planted::ForgetPromise ? now - 10s : now;
+        return m_injectedFault == InjectedFault::VoteLost || m_injectedFault == InjectedFault::PromiseLost ? now - 10s : now;
     }
 
-    void crash(Node &node, Duration downFor)
+    void crash(Node &node, Duration downTime)
     {
         node.replica.reset();
         node.proposed.clear();
         node.crashAt = TimePoint::max();
-        node.startAt = m_now + downFor;
+        node.startAt = m_now + downTime;
     }
 
-    /// Often so short that messages from before the crash are still on their way.
-    Duration downTime()
+    /// Returns a random time, often so short that messages from before the crash are still in flight.
+    Duration randomDownTime()
     {
         return Duration(static_cast<Duration::rep>(m_random.below(m_random.chance(500) ? 20'000 : 3'000'000)));
     }
@@ -154,21 +154,22 @@
     void flush(Node &node)
     {
         if (!ok(node.replica->flush(localTime(node, m_now)))) {
-            crash(node, downTime());
+            crash(node, randomDownTime());
             return;
         }
-        m_checks.leads(node.name, node.replica->core());
+        m_checks.recordLeader(node.name, node.replica->core());
     }
 
-    /// In slow times several replicas ask for votes at once, and some that voted restart before the other requests come.
+    /// Schedules crashes right after votes. On a slow network several replicas request votes at once, and a voter can restart before the
+    /// other requests arrive.
     void crashAfterVote(const v1::RaftMessage &message)
     {
         if (message.kind() != v1::RaftMessage::VOTE_REPLY || !message.granted() || !m_network.isSlow() || !m_random.chance(400)) {
             return;
         }
         Node &voter = nodeOf(message.from());
-        voter.crashAt = m_now + Step;
-        voter.downFor = Step;
+        voter.crashAt = m_now + StepInterval;
+        voter.downTime = StepInterval;
     }
 
     void post(v1::RaftMessage &&message)
@@ -182,20 +183,20 @@
         return *m_nodes[std::stoul(name.substr(3))];
     }
 
-    void deliverDue()
+    void deliverArrived()
     {
-        std::set<Node *> touched;
-        while (const std::optional<v1::RaftMessage> message = m_network.arrived(m_now)) {
+        std::set<Node *> steppedNodes;
+        while (const std::optional<v1::RaftMessage> message = m_network.nextArrived(m_now)) {
             Node &to = nodeOf(message->to());
             if (!to.replica) {
                 continue;
             }
             to.replica->core().step(*message, localTime(to, m_now));
-            touched.insert(&to);
+            steppedNodes.insert(&to);
         }
-        // In the order of the VMs, not of their addresses in memory: the same seed gives the same history.
+        // Ordered by VM, not by memory address, so that the same seed gives the same history.
         for (const auto &node : m_nodes) {
-            if (touched.contains(node.get()) && node->replica) {
+            if (steppedNodes.contains(node.get()) && node->replica) {
                 flush(*node);
             }
         }
@@ -207,36 +208,36 @@
         const TimePoint now = localTime(node, m_now);
         node.replica->core().tick(now);
         if (node.replica->core().leader()) {
-            node.heardLeader = m_now;
-        } else if (m_now - node.heardLeader > 2s) {
+            node.lastLeaderSeenAt = m_now;
+        } else if (m_now - node.lastLeaderSeenAt > 2s) {
             offer(node);
         }
-        if (const auto change = node.repair->next(node.replica->core(), now)) {
+        if (const auto change = node.repair->nextChange(node.replica->core(), now)) {
             m_result.membershipChanges += ok(node.replica->core().changeMembership(*change, now)) ? 1 : 0;
         }
         flush(node);
     }
 
-    /// Stands for the offers that the daemon sends to all VMs.
+    /// Models the offers that the daemon sends to all VMs.
     void offer(const Node &node)
     {
         for (const auto &other : m_nodes) {
             if (other->replica && !m_network.isBlocked(node.name, other->name)) {
-                other->repair->offered(node.name, node.disk.content.identity.incarnation, localTime(*other, m_now));
+                other->repair->recordOffer(node.name, node.disk.content.identity.incarnation, localTime(*other, m_now));
             }
         }
     }
 
     void step()
     {
-        m_now += Step;
-        deliverDue();
+        m_now += StepInterval;
+        deliverArrived();
         for (const auto &node : m_nodes) {
             if (!node->replica && m_now >= node->startAt) {
                 start(*node);
             }
             if (node->replica && m_now >= node->crashAt) {
-                crash(*node, node->downFor);
+                crash(*node, node->downTime);
             }
             if (node->replica && m_now >= node->nextTick) {
                 tick(*node);
@@ -252,8 +253,8 @@
         }
         const TimePoint now = localTime(node, m_now);
         if (m_random.chance(400)) {
-            if (node.replica->readable(now)) {
-                m_checks.read(node.replica->applied(), m_now);
+            if (node.replica->isReadable(now)) {
+                m_checks.recordRead(node.replica->appliedIndex(), m_now);
             }
             return;
         }
@@ -262,7 +263,7 @@
         if (!index) {
             return;
         }
-        node.proposed[*index] = {node.replica->core().term(), m_checks.invoked(command, m_now)};
+        node.proposed[*index] = {node.replica->core().term(), m_checks.recordInvoked(command, m_now)};
         if (m_random.chance(500)) {
             flush(node);
         }
@@ -270,54 +271,55 @@
 
     void applied(Node &node, const v1::LogEntry &entry, std::uint64_t sum)
     {
-        m_checks.applied(entry, sum);
-        const auto mine = node.proposed.find(entry.index());
-        if (mine == node.proposed.end()) {
+        m_checks.recordApplied(entry, sum);
+        const auto proposal = node.proposed.find(entry.index());
+        if (proposal == node.proposed.end()) {
             return;
         }
-        if (mine->second.first == entry.term()) {
-            m_checks.acknowledged(mine->second.second, m_now);
+        if (proposal->second.first == entry.term()) {
+            m_checks.recordAcknowledged(proposal->second.second, m_now);
         }
-        node.proposed.erase(mine);
+        node.proposed.erase(proposal);
     }
 
     void installed(Index index, std::uint64_t sum)
     {
         ++m_result.installs;
-        m_checks.holds(index, sum);
+        m_checks.checkState(index, sum);
     }
 
-    void fault()
+    void injectFault()
     {
-        if (m_faults == Faults::CommonRestarts && m_random.chance(400)) {
-            commonRestart();
+        if (m_faultProfile == FaultProfile::SimultaneousRestarts && m_random.chance(400)) {
+            restartSimultaneously();
             return;
         }
         Node &node = *m_nodes[m_random.below(m_nodes.size())];
         const std::uint64_t kind = m_random.below(20);
         if (kind < 4 && node.replica) {
-            crash(node, downTime());
+            crash(node, randomDownTime());
         } else if (kind < 8) {
             node.disk.crashInNextSync = node.replica != nullptr;
         } else if (kind < 10) {
-            m_network.cutOff(node.name, names(), true, true);
+            m_network.isolate(node.name, vmNames(), true, true);
         } else if (kind < 12) {
-            cutOffPartly(node);
+            isolatePartly(node);
         } else if (kind < 14) {
-            m_network.split(names());
+            m_network.partition(vmNames());
         } else if (kind < 16) {
             wipe(node);
-        } else if (kind < 17 && node.replica && allUp()) {
+        } else if (kind < 17 && node.replica && allRunning()) {
             crash(node, 8s);
         } else if (kind < 19) {
-            transfer();
+            transferLeadership();
         } else {
             powerFailure();
         }
     }
 
-    /// All restart at once, or all but one, which is cut off: if it leads, it reads under what the others promised before they restarted.
-    void commonRestart()
+    /// Restarts all replicas at once, or all but one, which is partitioned: if that one leads, it serves reads under the promises that the
+    /// others made before they restarted.
+    void restartSimultaneously()
     {
         const bool allRestart = m_random.chance(400);
         const bool sparesLeader = m_random.chance(700);
@@ -332,12 +334,12 @@
             }
         }
         if (spared) {
-            m_network.cutOff(spared->name, names(), true, true);
+            m_network.isolate(spared->name, vmNames(), true, true);
         }
     }
 
-    /// All but the leader fail in their next sync; the leader a moment later, and it stays away longer. What it acknowledged
-    /// meanwhile must be on the others' disks.
+    /// Crashes all replicas but the leader in their next sync; the leader crashes a moment later and stays down longer. Everything it
+    /// acknowledged meanwhile must be on the other replicas' disks.
     void powerFailure()
     {
         for (const auto &node : m_nodes) {
@@ -348,56 +350,56 @@
             node->disk.crashInNextSync = !leads;
             if (leads) {
                 node->crashAt = m_now + Duration(static_cast<Duration::rep>(m_random.below(100'000)));
-                node->downFor = 4s;
+                node->downTime = 4s;
             }
         }
     }
 
-    void cutOffPartly(const Node &node)
+    void isolatePartly(const Node &node)
     {
-        // The compiler may evaluate arguments in any order; the history may not depend on it.
+        // Separate statements, since the compiler may evaluate arguments in any order and the history must not depend on it.
         const bool out = m_random.chance(500);
         const bool in = m_random.chance(500);
-        m_network.cutOff(node.name, names(), in, out);
+        m_network.isolate(node.name, vmNames(), in, out);
     }
 
-    std::vector<VmName> names() const
+    std::vector<VmName> vmNames() const
     {
-        std::vector<VmName> names;
+        std::vector<VmName> vmNames;
         for (const auto &node : m_nodes) {
-            names.push_back(node->name);
+            vmNames.push_back(node->name);
         }
-        return names;
+        return vmNames;
     }
 
-    bool allUp() const
+    bool allRunning() const
     {
         return std::ranges::all_of(m_nodes, [](const auto &node) { return node->replica != nullptr; });
     }
 
-    /// The data folder is lost; only while no other voter waits to be admitted, since each one takes a vote away. Often the network splits
-    /// just then: if the empty replica voted, the side that lacks what it had acknowledged could win.
+    /// Wipes a data folder, but only while no other voter waits to be admitted, since each wiped voter takes a vote away. Often the network
+    /// is partitioned at the same time: if the empty replica voted, the side that lacks the entries it had acknowledged could win.
     void wipe(Node &node)
     {
-        const bool repairing
-            = std::ranges::any_of(m_nodes, [this](const auto &other) { return !other->disk.content.identity.admitted && somebodyCountsOn(other->name.value); });
-        if (repairing || !allUp()) {
+        const bool isVoterMissing
+            = std::ranges::any_of(m_nodes, [this](const auto &other) { return !other->disk.content.identity.admitted && isKnownVoter(other->name.value); });
+        if (isVoterMissing || !allRunning()) {
             return;
         }
         if (m_random.chance(500)) {
-            m_network.split(names());
+            m_network.partition(vmNames());
         }
-        newFolder(node, v1::Membership{}, m_planted == Planted::WipeKeepsVoting);
-        crash(node, downTime());
+        resetFolder(node, v1::Membership{}, m_injectedFault == InjectedFault::WipedReplicaVotes);
+        crash(node, randomDownTime());
     }
 
-    bool somebodyCountsOn(const std::string &voter) const
+    bool isKnownVoter(const std::string &voter) const
     {
         return std::ranges::any_of(
             m_nodes, [&voter](const auto &node) { return node->replica && std::ranges::count(node->replica->core().membership().voters(), voter) > 0; });
     }
 
-    void transfer()
+    void transferLeadership()
     {
         for (const auto &node : m_nodes) {
             if (node->replica && node->replica->core().role() == Core::Role::Leader) {
@@ -414,12 +416,12 @@
     {
         m_network.setFaulty(true);
         TimePoint nextFault = m_now + 2s;
-        while (m_now < TimePoint(FaultyPart)) {
+        while (m_now < TimePoint(FaultDuration)) {
             step();
             if (m_now >= nextFault) {
                 nextFault = m_now + Duration(static_cast<Duration::rep>(m_random.below(1'500'000)));
-                m_network.turn();
-                fault();
+                m_network.changeConditions();
+                injectFault();
             }
             if (m_random.chance(100)) {
                 clientStep();
@@ -436,10 +438,10 @@
         }
     }
 
-    /// A command proposed after the healing must reach every voter.
+    /// A command proposed after the network healed must reach every voter.
     void runUntilConverged()
     {
-        const TimePoint end = m_now + HealedPart;
+        const TimePoint end = m_now + ConvergenceTimeout;
         TimePoint next = m_now;
         while (m_now < end) {
             step();
@@ -448,14 +450,14 @@
             }
             next = m_now + 200ms;
             clientStep();
-            if (converged()) {
+            if (hasConverged()) {
                 return;
             }
         }
         throw CheckFailed("no agreement after the network healed: " + describe());
     }
 
-    /// What stands still, for the reader of a failed seed.
+    /// Describes the state of all nodes, for the analysis of a failed seed.
     std::string describe() const
     {
         std::string text;
@@ -467,34 +469,34 @@
             }
             const Core &core = node->replica->core();
             text += " role " + std::to_string(static_cast<int>(core.role())) + " term " + std::to_string(core.term()) + " last "
-                + std::to_string(core.log().last()) + "/" + std::to_string(core.log().lastTerm()) + " commit " + std::to_string(core.commit())
+                + std::to_string(core.log().lastIndex()) + "/" + std::to_string(core.log().lastTerm()) + " commit " + std::to_string(core.commitIndex())
                 + (core.identity().admitted ? " admitted" : "") + " members " + core.membership().ShortDebugString();
             for (const auto &[member, progress] : core.progress()) {
-                text += "; " + member.value + " state " + std::to_string(static_cast<int>(progress.state)) + " match " + std::to_string(progress.match);
+                text += "; " + member.value + " state " + std::to_string(static_cast<int>(progress.state)) + " match " + std::to_string(progress.matchIndex);
             }
         }
         return text;
     }
 
-    bool converged()
+    bool hasConverged()
     {
         for (const auto &node : m_nodes) {
-            if (!node->replica || !node->replica->readable(localTime(*node, m_now)) || !m_checks.lastIsAcknowledged()) {
+            if (!node->replica || !node->replica->isReadable(localTime(*node, m_now)) || !m_checks.isLastAcknowledged()) {
                 continue;
             }
             const Core &core = node->replica->core();
-            return core.membership().voters_size() == static_cast<int>(Voters)
+            return core.membership().voters_size() == static_cast<int>(VoterCount)
                 && std::ranges::all_of(core.membership().voters(), [&](const std::string &voter) {
                        const Node &other = nodeOf(voter);
-                       return other.replica && other.replica->applied() == node->replica->applied() && other.disk.content.identity.admitted;
+                       return other.replica && other.replica->appliedIndex() == node->replica->appliedIndex() && other.disk.content.identity.admitted;
                    });
         }
         return false;
     }
 
     SeededRandom m_random;
-    const Planted m_planted;
-    const Faults m_faults;
+    const InjectedFault m_injectedFault;
+    const FaultProfile m_faultProfile;
     TimePoint m_now{};
     SimulatedNetwork m_network;
     std::vector<std::unique_ptr<Node>> m_nodes;
@@ -505,12 +507,12 @@
 }
 
 template<typename Order>
-SimulationResult simulate(std::uint64_t seed, Planted planted, Faults faults)
+SimulationResult simulate(std::uint64_t seed, InjectedFault injectedFault, FaultProfile faultProfile)
 {
-    return Simulation<Order>(seed, planted, faults).run();
+    return Simulation<Order>(seed, injectedFault, faultProfile).run();
 }
 
-template SimulationResult simulate<SyncThenPromise>(std::uint64_t seed, Planted planted, Faults faults);
-template SimulationResult simulate<PromiseThenSync>(std::uint64_t seed, Planted planted, Faults faults);
+template SimulationResult simulate<SyncThenSend>(std::uint64_t seed, InjectedFault injectedFault, FaultProfile faultProfile);
+template SimulationResult simulate<SendThenSync>(std::uint64_t seed, InjectedFault injectedFault, FaultProfile faultProfile);
 
 }
--- a/tests/raft/simulation.h
+++ b/tests/raft/simulation.h
@@ -11,11 +11,11 @@
 #include <string>
 #include <vector>
 
-/// Histories of the replicated log in virtual time: all faults come from one seed, so a seed that fails fails again.
+/// Histories of the replicated log in virtual time. All faults derive from one seed, so a failing seed is reproducible.
 namespace cumindyke::raft::test
 {
 
-/// A disk that keeps what was synced. A crash during a sync keeps a random first part of the write, as a torn write does.
+/// A disk that keeps synced data. A crash during a sync keeps a random prefix of the write, as a torn write does.
 class SimulatedDisk
 {
 public:
@@ -27,12 +27,12 @@
     Result<Done> saveSnapshot(const SnapshotPointer &snapshot, Index keepAfter);
 
 private:
-    std::size_t kept(std::size_t count);
+    std::size_t keptCount(std::size_t count);
     void install(const Writes &writes);
     void append(const EntryPointer &entry);
 };
 
-/// What one replica applied, as a running checksum over (index, term, command).
+/// State machine whose state is a running checksum over (index, term, command) of the applied entries.
 struct SimulatedState
 {
     Index index = 0;
@@ -55,18 +55,18 @@
     }
 };
 
-/// Faults that are planted to see that the checks find them.
-enum class Planted {
-    Nothing,
-    ForgetVote, ///< a restart loses the vote, and the promise to vote for nobody while a leader may live
-    ForgetPromise, ///< a restart ends the promise to vote for nobody while a leader may live
-    WipeKeepsVoting, ///< a replica with a new data folder votes as if it were the old one
+/// Deliberate faults that the checks must detect.
+enum class InjectedFault {
+    None,
+    VoteLost, ///< a restart loses the vote and the promise to withhold votes while a leader may be alive
+    PromiseLost, ///< a restart ends the promise to withhold votes while a leader may be alive
+    WipedReplicaVotes, ///< a replica with a new data folder may vote, as the old one could
 };
 
 struct SimulationResult
 {
-    /// Empty: every check held.
-    std::string fault;
+    /// First check that failed; empty if all checks passed.
+    std::string failedCheck;
     std::size_t acknowledged = 0;
     std::size_t reads = 0;
     std::size_t leaders = 0;
@@ -74,24 +74,24 @@
     std::size_t installs = 0;
 };
 
-/// Which faults a history is made of.
-enum class Faults {
+/// The kinds of faults in a history.
+enum class FaultProfile {
     Usual,
-    /// Besides, most replicas restart at the same moment, often while the one that is spared is cut off and may still lead.
-    CommonRestarts,
+    /// In addition, most replicas restart at the same moment, often while the one that doesn't is partitioned and may still lead.
+    SimultaneousRestarts,
 };
 
-/// Runs one history: faults for half a minute, then a healed network, then the checks.
-template<typename Order = SyncThenPromise>
-SimulationResult simulate(std::uint64_t seed, Planted planted = Planted::Nothing, Faults faults = Faults::Usual);
+/// Runs one history: half a minute of faultProfile, then a healed network, then the checks.
+template<typename Order = SyncThenSend>
+SimulationResult simulate(std::uint64_t seed, InjectedFault injectedFault = InjectedFault::None, FaultProfile faultProfile = FaultProfile::Usual);
 
-extern template SimulationResult simulate<SyncThenPromise>(std::uint64_t seed, Planted planted, Faults faults);
+extern template SimulationResult simulate<SyncThenSend>(std::uint64_t seed, InjectedFault injectedFault, FaultProfile faultProfile);
 
-/// The planted fault of acknowledging before the sync.
-struct PromiseThenSync
+/// Injected fault: acknowledges before the sync.
+struct SendThenSync
 {
-    static constexpr bool PromiseBeforeSync = true;
+    static constexpr bool SendBeforeSync = true;
 };
-extern template SimulationResult simulate<PromiseThenSync>(std::uint64_t seed, Planted planted, Faults faults);
+extern template SimulationResult simulate<SendThenSync>(std::uint64_t seed, InjectedFault injectedFault, FaultProfile faultProfile);
 
 }
--- a/tests/raft/simulationchecks.h
+++ b/tests/raft/simulationchecks.h
@@ -10,25 +10,25 @@
 namespace cumindyke::raft::test
 {
 
-/// What replicas and clients of a simulated history must agree on. Throws CheckFailed.
+/// Checks on the replicas and clients of a simulated history. Throws CheckFailed.
 class SimulationChecks
 {
 public:
-    /// No term has two leaders.
-    void leads(const VmName &vm, const Core &core);
-    /// Every replica that applied up to an index holds the same state there.
-    void holds(Index index, std::uint64_t sum);
-    void applied(const v1::LogEntry &entry, std::uint64_t sum);
+    /// Records a leader and checks that no term has two leaders.
+    void recordLeader(const VmName &vm, const Core &core);
+    /// Checks that every replica that applied up to an index has the same state there.
+    void checkState(Index index, std::uint64_t sum);
+    void recordApplied(const v1::LogEntry &entry, std::uint64_t sum);
 
-    /// A client's command; the number names it when it is acknowledged.
-    std::size_t invoked(const std::string &command, TimePoint now);
-    void acknowledged(std::size_t append, TimePoint now);
-    void read(Index index, TimePoint now);
+    /// Records a client's command; returns the number to pass to recordAcknowledged().
+    std::size_t recordInvoked(const std::string &command, TimePoint now);
+    void recordAcknowledged(std::size_t append, TimePoint now);
+    void recordRead(Index index, TimePoint now);
     std::size_t appends() const
     {
         return m_appends.size();
     }
-    bool lastIsAcknowledged() const
+    bool isLastAcknowledged() const
     {
         return !m_appends.empty() && m_appends.back().acknowledged.has_value();
     }
@@ -40,7 +40,7 @@
     {
         return m_leaders.size();
     }
-    /// The whole history is linearizable; returns how many appends were acknowledged.
+    /// Checks that the whole history is linearizable; returns the number of acknowledged appends.
     std::size_t checkAll() const;
 
 private:
--- a/tests/raft/snapshottransfertest.cpp
+++ b/tests/raft/snapshottransfertest.cpp
@@ -43,12 +43,12 @@
     return recovered;
 }
 
-/// Three voters, of which "c" lacks all that the others have only as a snapshot; what it is sent and what it answers takes some time.
+/// Three voters. "c" has an empty log and needs entries that the others have only in a snapshot; messages to and from "c" are delayed.
 class SlowFollower
 {
 public:
-    explicit SlowFollower(Duration oneWay)
-        : m_oneWay(oneWay)
+    explicit SlowFollower(Duration oneWayDelay)
+        : m_oneWayDelay(oneWayDelay)
     {
         for (const char *name : {"a", "b", "c"}) {
             const VmName vm{name};
@@ -61,9 +61,9 @@
     {
         for (Duration elapsed{}; elapsed < time; elapsed += std::chrono::milliseconds(10)) {
             const TimePoint now = Start + elapsed;
-            while (!m_arriving.empty() && m_arriving.front().first <= now) {
-                const v1::RaftMessage message = std::move(m_arriving.front().second);
-                m_arriving.pop_front();
+            while (!m_inTransit.empty() && m_inTransit.front().first <= now) {
+                const v1::RaftMessage message = std::move(m_inTransit.front().second);
+                m_inTransit.pop_front();
                 m_cores.at(VmName{message.to()})->step(message, now);
             }
             for (auto &[name, core] : m_cores) {
@@ -79,7 +79,7 @@
     }
     Index commitOf(const std::string &name) const
     {
-        return m_cores.at(VmName{name})->commit();
+        return m_cores.at(VmName{name})->commitIndex();
     }
 
 private:
@@ -87,30 +87,30 @@
     {
         const Effects effects = core.takeEffects();
         core.synced(now);
-        for (const auto *messages : {&effects.messages, &effects.promises}) {
+        for (const auto *messages : {&effects.messages, &effects.messagesAfterSync}) {
             for (const v1::RaftMessage &message : *messages) {
                 m_chunkBytes += message.snapshot_chunk().size();
                 const bool isSlow = message.to() == "c" || message.from() == "c";
-                deliver(now + (isSlow ? m_oneWay : std::chrono::milliseconds(1)), message);
+                deliver(now + (isSlow ? m_oneWayDelay : std::chrono::milliseconds(1)), message);
             }
         }
     }
 
     void deliver(TimePoint at, const v1::RaftMessage &message)
     {
-        const auto later = std::ranges::upper_bound(m_arriving, at, {}, [](const auto &held) { return held.first; });
-        m_arriving.emplace(later, at, message);
+        const auto later = std::ranges::upper_bound(m_inTransit, at, {}, [](const auto &held) { return held.first; });
+        m_inTransit.emplace(later, at, message);
     }
 
-    const Duration m_oneWay;
+    const Duration m_oneWayDelay;
     std::map<VmName, std::unique_ptr<Core>> m_cores;
-    std::deque<std::pair<TimePoint, v1::RaftMessage>> m_arriving;
+    std::deque<std::pair<TimePoint, v1::RaftMessage>> m_inTransit;
     std::size_t m_chunkBytes = 0;
 };
 
 }
 
-// Guards against a link that gets the more to carry the slower it is: a replaced replica's snapshot, sent again with each heartbeat.
+// Guards against resending a replaced replica's snapshot with each heartbeat: the slower the link, the more it had to carry.
 TEST_CASE("a snapshot's chunks are sent once over a link that is slower than the heartbeats")
 {
     SlowFollower replicas(std::chrono::milliseconds(200));
