--- a/tests/raft/storagetest.cpp
+++ b/tests/raft/storagetest.cpp
@@ -24,13 +24,13 @@
     return std::make_shared<const v1::LogEntry>(entry);
 }
 
-/// A replica's durable content, as the test expects it.
+/// The expected durable content of a replica.
 struct Model
 {
     Vote vote;
     Index snapshotIndex = 0;
     Term snapshotTerm = 0;
-    /// Entries after snapshotIndex, and maybe some before.
+    /// Entries after snapshotIndex, and possibly some before it.
     std::map<Index, std::string> entries;
 
     std::map<Index, std::string> afterSnapshot() const
@@ -52,7 +52,8 @@
     return model;
 }
 
-/// One random operation on storage and model: entries (some replace what was there), a vote, a snapshot taken or got.
+/// A random operation on storage and model: appends entries (some supersede older ones), records a vote, saves a snapshot or installs a
+/// received one.
 class Operation
 {
 public:
@@ -104,8 +105,8 @@
     return Writes{.identity = Identity{.incarnation = 7, .admitted = true}, .vote = Vote{.term = 1}, .snapshot = std::make_shared<Snapshot>()};
 }
 
-/// A folder with three frames of one entry each; returns the segment's path.
-std::string threeFrames(FakeFileSystem &files)
+/// Creates a folder with three frames of one entry each; returns the segment's path.
+std::string writeThreeFrames(FakeFileSystem &files)
 {
     FileStorage<FakeFileSystem> storage(files, Folder);
     REQUIRE(ok(storage.open(7)));
@@ -118,10 +119,9 @@
 
 }
 
-// A caller has its answer when the replica has synced. The machine crashes at any operation of the disk, in the middle of a write or
-// before a name is synced; after the restart everything acknowledged must be there, and the interrupted write wholly or not at all,
-// since others may have seen nothing of it, but not a mixture.
-TEST_CASE("what was acknowledged is there after a crash at any operation")
+// A caller gets its answer once the replica has synced. The machine crashes at any disk operation, in the middle of a write or before a
+// name is synced. After the restart every acknowledged write must be there, and the interrupted write either completely or not at all.
+TEST_CASE("acknowledged writes survive a crash at any operation")
 {
     std::mt19937_64 random(4);
     for (int history = 0; history < 400; ++history) {
@@ -145,19 +145,19 @@
             auto recovered = storage->open(8);
             INFO("history " << history << ", step " << step << (ok(recovered) ? "" : errorOf(recovered).message));
             REQUIRE(ok(recovered));
-            const Model found = modelOf(valueOf(recovered));
-            REQUIRE((found == operation.after || (!acknowledged && found == model)));
+            const Model recoveredModel = modelOf(valueOf(recovered));
+            REQUIRE((recoveredModel == operation.after || (!acknowledged && recoveredModel == model)));
             CHECK(valueOf(recovered).identity.incarnation == 7);
-            model = found;
+            model = recoveredModel;
         }
     }
 }
 
-// The machine crashes while it writes the last frame: the frame is cut off at the next start, and the log goes on after it.
-TEST_CASE("a torn tail is cut off")
+// A crash during the write of the last frame: the frame is truncated at the next start, and the log continues after it.
+TEST_CASE("a torn tail is truncated")
 {
     FakeFileSystem files(1);
-    std::string &segment = files.files[threeFrames(files)];
+    std::string &segment = files.files[writeThreeFrames(files)];
     segment.resize(segment.size() - 3);
     for (int start = 0; start < 2; ++start) {
         FileStorage<FakeFileSystem> storage(files, Folder);
@@ -168,12 +168,12 @@
     }
 }
 
-// A bit of an acknowledged entry is flipped on the disk. To cut the log there would silently lose what follows; so the start is
-// refused, and the message names the file, the offset and what to do.
-TEST_CASE("damage before the tail is refused by name")
+// A bit of an acknowledged entry is flipped on the disk. Truncating the log there would silently lose the entries after it, so the start is
+// refused with an error that names the file, the offset and the remedy.
+TEST_CASE("damage before the tail is reported with file, offset and remedy")
 {
     FakeFileSystem files(1);
-    const std::string path = threeFrames(files);
+    const std::string path = writeThreeFrames(files);
     files.files[path][60] ^= 1;
     FileStorage<FakeFileSystem> storage(files, Folder);
     const auto recovered = storage.open(8);
@@ -187,20 +187,20 @@
 {
     for (const char *path : {"data/vote", "data/identity", "data/snapshot"}) {
         FakeFileSystem damagedFiles(1);
-        threeFrames(damagedFiles);
+        writeThreeFrames(damagedFiles);
         damagedFiles.files[path].back() ^= 1;
         CHECK(!ok(FileStorage<FakeFileSystem>(damagedFiles, Folder).open(8)));
     }
     for (const char *path : {"data/vote", "data/identity"}) {
         FakeFileSystem files(1);
-        threeFrames(files);
+        writeThreeFrames(files);
         files.files.erase(path);
         CHECK(!ok(FileStorage<FakeFileSystem>(files, Folder).open(8)));
     }
 }
 
-// The disk is full: the write fails, and the replica must not acknowledge, nor anything after it.
-TEST_CASE("a full disk stops the replica before it promises anything")
+// The disk is full: the write fails, and the replica must not acknowledge it or anything after it.
+TEST_CASE("a full disk stops the replica before it acknowledges anything")
 {
     FakeFileSystem files(1);
     FileStorage<FakeFileSystem> storage(files, Folder);
@@ -241,7 +241,7 @@
     CHECK_THAT(errorOf(refused).message, Catch::Matchers::Contains("in use by another process"));
 }
 
-TEST_CASE("the machine's files keep the log over a restart")
+TEST_CASE("POSIX files keep the log across a restart")
 {
     const cumindyke::test::TemporaryFolder folder;
     for (Index run = 1; run <= 3; ++run) {
@@ -257,8 +257,8 @@
     }
 }
 
-// Guards against a log of large commands that fills the memory and the disk long before so many entries have come that a snapshot is due.
-TEST_CASE("large commands bring a snapshot by their bytes, and few of them stay in memory and on the disk")
+// Guards against a log of large commands that fills the memory and the disk long before its number of entries triggers a snapshot.
+TEST_CASE("large commands trigger a snapshot by their bytes, and their bytes in memory and on the disk are bounded")
 {
     constexpr std::size_t CommandBytes = 300 << 10;
     FakeFileSystem files(1);
@@ -277,11 +277,11 @@
     for (int change = 0; change < 400; ++change) {
         REQUIRE(ok(replica.flush(TimePoint())));
         REQUIRE(replica.core().propose(std::string(CommandBytes, 'x')));
-        std::size_t held = 0;
-        for (Index index = replica.core().log().base() + 1; index <= replica.core().log().last(); ++index) {
-            held += replica.core().log().at(index)->command().size();
+        std::size_t bytesInMemory = 0;
+        for (Index index = replica.core().log().baseIndex() + 1; index <= replica.core().log().lastIndex(); ++index) {
+            bytesInMemory += replica.core().log().at(index)->command().size();
         }
-        REQUIRE(held <= std::size_t{16} << 20);
+        REQUIRE(bytesInMemory <= std::size_t{16} << 20);
     }
     std::size_t onDisk = 0;
     for (const auto &[path, bytes] : files.files) {
