--- a/src/raft/core.cpp
+++ b/src/raft/core.cpp
@@ -215,7 +215,7 @@
     return effects;
 }
 
-void Core::synced(TimePoint now)
+void Core::onSynced(TimePoint now)
 {
     m_durableIndex = m_writtenIndex;
     if (m_role == Role::Leader) {
--- a/src/raft/core.h
+++ b/src/raft/core.h
@@ -106,7 +106,7 @@
 
     Effects takeEffects();
     /// Call once the writes returned by the last takeEffects() are durable.
-    void synced(TimePoint now);
+    void onSynced(TimePoint now);
     /// Call once a snapshot of the applied state is durable: discards log entries up to keepAfter.
     void compact(SnapshotPointer snapshot, Index keepAfter);
 
--- a/src/raft/replica.h
+++ b/src/raft/replica.h
@@ -90,7 +90,7 @@
                     return written;
                 }
             }
-            m_core.synced(now);
+            m_core.onSynced(now);
             sendAll(effects.messagesAfterSync);
             applyAll(effects);
             if (isSnapshotDue()) {
--- a/tests/fuzz/messagefuzz.cpp
+++ b/tests/fuzz/messagefuzz.cpp
@@ -29,7 +29,7 @@
         now += std::chrono::milliseconds(200);
         core.tick(now);
         core.takeEffects();
-        core.synced(now);
+        core.onSynced(now);
     }
     return 0;
 }
--- a/tests/raft/electiontest.cpp
+++ b/tests/raft/electiontest.cpp
@@ -44,7 +44,7 @@
             for (auto &[name, core] : m_cores) {
                 core->tick(now);
                 const Effects effects = core->takeEffects();
-                core->synced(now);
+                core->onSynced(now);
                 sent.insert(sent.end(), effects.messages.begin(), effects.messages.end());
                 sent.insert(sent.end(), effects.messagesAfterSync.begin(), effects.messagesAfterSync.end());
                 if (core->role() == Core::Role::Leader) {
--- a/tests/raft/snapshottransfertest.cpp
+++ b/tests/raft/snapshottransfertest.cpp
@@ -86,7 +86,7 @@
     void send(Core &core, TimePoint now)
     {
         const Effects effects = core.takeEffects();
-        core.synced(now);
+        core.onSynced(now);
         for (const auto *messages : {&effects.messages, &effects.messagesAfterSync}) {
             for (const v1::RaftMessage &message : *messages) {
                 m_chunkBytes += message.snapshot_chunk().size();
