--- a/src/raft/filestorage.h
+++ b/src/raft/filestorage.h
@@ -316,7 +316,7 @@
     if (startsSegment) {
         const SegmentHeader header{.firstIndex = first, .previousTerm = m_entryTerms[first - 1]};
         m_segments.push_back(Segment{.path = nextSegmentPath(), .header = header});
-        bytes.insert(0, encodeHeader(header));
+        bytes.insert(0, encodeSegmentHeader(header));
     }
     Segment &segment = m_segments.back();
     Result<Done> done = m_files.write(segment.path, segment.size, bytes);
--- a/src/raft/segment.cpp
+++ b/src/raft/segment.cpp
@@ -102,7 +102,7 @@
     return Frame{.payload = payload, .end = offset + FrameHeaderBytes + length};
 }
 
-std::string encodeHeader(const SegmentHeader &header)
+std::string encodeSegmentHeader(const SegmentHeader &header)
 {
     std::string bytes(SegmentMagic);
     appendInteger(bytes, header.firstIndex, 8);
--- a/src/raft/segment.h
+++ b/src/raft/segment.h
@@ -29,7 +29,7 @@
 
     auto operator<=>(const SegmentHeader &) const = default;
 };
-std::string encodeHeader(const SegmentHeader &header);
+std::string encodeSegmentHeader(const SegmentHeader &header);
 
 struct SegmentContent
 {
--- a/tests/fuzz/segmentfuzz.cpp
+++ b/tests/fuzz/segmentfuzz.cpp
@@ -15,7 +15,7 @@
         return 0;
     }
     const SegmentContent &segment = cumindyke::valueOf(content);
-    std::string again = encodeHeader(*segment.header);
+    std::string again = encodeSegmentHeader(*segment.header);
     for (const cumindyke::v1::StoredBatch &batch : segment.batches) {
         again += encodeFrame(batch.SerializeAsString());
     }
