--- a/src/raft/filestorage.h
+++ b/src/raft/filestorage.h
@@ -192,8 +192,8 @@
     }
     const SegmentContent &segment = valueOf(content);
     const bool isEmpty = !segment.header || segment.batches.empty();
-    if (!isLast && (isEmpty || segment.wholeBytes != valueOf(bytes).size())) {
-        return damagedError(path, segment.wholeBytes, "a later segment was written");
+    if (!isLast && (isEmpty || segment.validBytes != valueOf(bytes).size())) {
+        return damagedError(path, segment.validBytes, "a later segment was written");
     }
     // A crash came before the first batch was complete. The header may name an index that the next batch doesn't start with; if the file
     // were kept, a later removal of older segments could delete entries that are still needed.
@@ -218,9 +218,9 @@
             recovered.entries.push_back(std::make_shared<const v1::LogEntry>(entry));
         }
     }
-    m_segments.push_back(Segment{.path = path, .header = *segment.header, .size = segment.wholeBytes});
+    m_segments.push_back(Segment{.path = path, .header = *segment.header, .size = segment.validBytes});
     // The remaining bytes are a write that was never acknowledged.
-    return segment.wholeBytes == valueOf(bytes).size() ? Result<Done>(Done{}) : m_files.truncate(path, segment.wholeBytes);
+    return segment.validBytes == valueOf(bytes).size() ? Result<Done>(Done{}) : m_files.truncate(path, segment.validBytes);
 }
 
 /// Removes a log that contradicts the snapshot: a crash during the installation of a snapshot leaves the log that the snapshot replaces.
--- a/src/raft/segment.cpp
+++ b/src/raft/segment.cpp
@@ -121,23 +121,23 @@
         }
         return content;
     }
-    content.wholeBytes = SegmentHeaderBytes;
-    while (content.wholeBytes < bytes.size()) {
-        const std::optional<Frame> frame = decodeFrame(bytes, content.wholeBytes);
+    content.validBytes = SegmentHeaderBytes;
+    while (content.validBytes < bytes.size()) {
+        const std::optional<Frame> frame = decodeFrame(bytes, content.validBytes);
         if (!frame) {
             // Only the last write can be torn. A frame after an invalid one was written after the invalid one was synced and acknowledged:
             // truncating here would silently lose acknowledged entries.
-            if (findFrame(bytes, content.wholeBytes)) {
-                return damagedError(path, content.wholeBytes, "entries follow that were written later");
+            if (findFrame(bytes, content.validBytes)) {
+                return damagedError(path, content.validBytes, "entries follow that were written later");
             }
             return content;
         }
         v1::StoredBatch batch;
         if (!batch.ParseFromArray(frame->payload.data(), static_cast<int>(frame->payload.size())) || !isConsecutive(batch)) {
-            return damagedError(path, content.wholeBytes, "the checksum is valid, but the entries are not");
+            return damagedError(path, content.validBytes, "the checksum is valid, but the entries are not");
         }
         content.batches.push_back(std::move(batch));
-        content.wholeBytes = frame->end;
+        content.validBytes = frame->end;
     }
     return content;
 }
--- a/src/raft/segment.h
+++ b/src/raft/segment.h
@@ -38,7 +38,7 @@
     /// In the order written. A batch that starts at or before the end of the earlier batches supersedes their entries from there on.
     std::vector<v1::StoredBatch> batches;
     /// Length of the valid part; the bytes after it are a torn write.
-    std::size_t wholeBytes = 0;
+    std::size_t validBytes = 0;
 };
 
 /// Parses a segment file. Error: Storage, with the offset, when the file is certainly damaged.
--- a/tests/fuzz/segmentfuzz.cpp
+++ b/tests/fuzz/segmentfuzz.cpp
@@ -20,7 +20,7 @@
         again += encodeFrame(batch.SerializeAsString());
     }
     const auto reread = parseSegment(again, "fuzz");
-    if (segment.wholeBytes > size || !cumindyke::ok(reread) || cumindyke::valueOf(reread).batches.size() != segment.batches.size()) {
+    if (segment.validBytes > size || !cumindyke::ok(reread) || cumindyke::valueOf(reread).batches.size() != segment.batches.size()) {
         std::abort();
     }
     return 0;
