--- a/src/control/controltaskleader.cpp
+++ b/src/control/controltaskleader.cpp
@@ -62,7 +62,7 @@
         std::_Exit(EXIT_FAILURE);
     };
     m_log->failed().connect(die);
-    m_log->flushWanted().connect([this] { m_flush.startOnce(Duration::zero()); });
+    m_log->flushRequested().connect([this] { m_flush.startOnce(Duration::zero()); });
     m_log->applied().connect(sigc::mem_fun(*this, &ControlTask::applyEntry));
     m_log->snapshotWanted().connect([this] { return m_state.snapshot(); });
     m_log->snapshotInstalled().connect([this, die](const std::string &bytes) {
--- a/src/raft/replicatedlog.cpp
+++ b/src/raft/replicatedlog.cpp
@@ -101,7 +101,7 @@
     std::optional<VmName> reportedLeader;
     std::string reportedMembership;
     sigc::signal<void, const std::optional<VmName> &> leaderChanged;
-    sigc::signal<void> flushWanted;
+    sigc::signal<void> flushRequested;
     sigc::signal<void, const Error &> failed;
 };
 
@@ -205,7 +205,7 @@
 {
     if (!flushPending) {
         flushPending = true;
-        flushWanted.emit();
+        flushRequested.emit();
     }
 }
 
@@ -398,9 +398,9 @@
     return d->state.installed;
 }
 
-sigc::signal<void> &ReplicatedLog::flushWanted()
+sigc::signal<void> &ReplicatedLog::flushRequested()
 {
-    return d->flushWanted;
+    return d->flushRequested;
 }
 
 sigc::signal<void, const Error &> &ReplicatedLog::failed()
--- a/src/raft/replicatedlog.h
+++ b/src/raft/replicatedlog.h
@@ -81,7 +81,7 @@
     sigc::signal<std::string> &snapshotWanted();
     /// Emitted with the bytes of a snapshot that replaces the applied state.
     sigc::signal<void, const std::string &> &snapshotInstalled();
-    sigc::signal<void> &flushWanted();
+    sigc::signal<void> &flushRequested();
     /// Emitted when the disk has failed: its content is unknown, and no further vote or acknowledgement is sent. Stop the process.
     sigc::signal<void, const Error &> &failed();
 
