--- a/src/control/controltaskleader.cpp
+++ b/src/control/controltaskleader.cpp
@@ -64,7 +64,7 @@
     m_log->failed().connect(die);
     m_log->flushRequested().connect([this] { m_flush.startOnce(Duration::zero()); });
     m_log->applied().connect(sigc::mem_fun(*this, &ControlTask::applyEntry));
-    m_log->snapshotWanted().connect([this] { return m_state.snapshot(); });
+    m_log->snapshotRequested().connect([this] { return m_state.snapshot(); });
     m_log->snapshotInstalled().connect([this, die](const std::string &bytes) {
         if (const Result<Done> restored = m_state.restore(bytes); !ok(restored)) {
             die(errorOf(restored));
--- a/src/raft/replicatedlog.cpp
+++ b/src/raft/replicatedlog.cpp
@@ -45,7 +45,7 @@
     struct State
     {
         sigc::signal<void, Index, Term, const std::string &> applied;
-        sigc::signal<std::string> snapshotWanted;
+        sigc::signal<std::string> snapshotRequested;
         sigc::signal<void, const std::string &> installed;
 
         void install(const Snapshot &snapshot)
@@ -58,7 +58,7 @@
         }
         std::string snapshot()
         {
-            return snapshotWanted.emit();
+            return snapshotRequested.emit();
         }
     };
     using LogReplica = Replica<FileStorage<PosixFileSystem>, Sender, State>;
@@ -388,9 +388,9 @@
     return d->leaderChanged;
 }
 
-sigc::signal<std::string> &ReplicatedLog::snapshotWanted()
+sigc::signal<std::string> &ReplicatedLog::snapshotRequested()
 {
-    return d->state.snapshotWanted;
+    return d->state.snapshotRequested;
 }
 
 sigc::signal<void, const std::string &> &ReplicatedLog::snapshotInstalled()
--- a/src/raft/replicatedlog.h
+++ b/src/raft/replicatedlog.h
@@ -78,7 +78,7 @@
     sigc::signal<void, Index, Term, const std::string &> &applied();
     sigc::signal<void, const std::optional<VmName> &> &leaderChanged();
     /// Emitted to get the applied state as bytes.
-    sigc::signal<std::string> &snapshotWanted();
+    sigc::signal<std::string> &snapshotRequested();
     /// Emitted with the bytes of a snapshot that replaces the applied state.
     sigc::signal<void, const std::string &> &snapshotInstalled();
     sigc::signal<void> &flushRequested();
--- a/tests/measure/logmeasure.cpp
+++ b/tests/measure/logmeasure.cpp
@@ -141,7 +141,7 @@
             state.apply(command);
         }
     });
-    log->snapshotWanted().connect([&state] { return state.snapshot(); });
+    log->snapshotRequested().connect([&state] { return state.snapshot(); });
     log->snapshotInstalled().connect([&state](const std::string &bytes) { REQUIRE(ok(state.restore(bytes))); });
     log->start(EventLoop::now());
     log->flush(EventLoop::now());
