--- a/src/control/controltaskleader.cpp
+++ b/src/control/controltaskleader.cpp
@@ -38,7 +38,7 @@
     };
     logOptions.formCluster = m_options.formCluster;
     logOptions.wantedVoters = m_options.wantedVoters;
-    logOptions.replaceAfter = m_options.replaceReplicaAfter;
+    logOptions.replacementTimeout = m_options.replaceReplicaAfter;
     logOptions.leaderHint = [this] { return m_search.leader(); };
     auto log = raft::ReplicatedLog::open(std::move(logOptions));
     if (!ok(log)) {
--- a/src/raft/replicatedlog.cpp
+++ b/src/raft/replicatedlog.cpp
@@ -69,7 +69,7 @@
         , sender{options.send}
         , repair(RepairOptions{.targetVoters = std::max<std::size_t>({options.initialVoters.size(), options.wantedVoters, 1}),
                                .minVoters = options.wantedVoters == 0 ? 0 : MinVoters,
-                               .memberTimeout = options.replaceAfter})
+                               .memberTimeout = options.replacementTimeout})
     {
     }
 
--- a/src/raft/replicatedlog.h
+++ b/src/raft/replicatedlog.h
@@ -32,7 +32,7 @@
     Duration electionTimeout = std::chrono::milliseconds(500);
     Duration heartbeatInterval = std::chrono::milliseconds(100);
     /// A voter that has sent no reply for this long is replaced if another VM with a disk offers itself.
-    Duration replaceAfter = std::chrono::seconds(30);
+    Duration replacementTimeout = std::chrono::seconds(30);
     SnapshotPolicy snapshots;
 };
 
