--- a/src/raft/replica.h
+++ b/src/raft/replica.h
@@ -22,7 +22,7 @@
 struct SnapshotPolicy
 {
     /// Maximum number of entries applied between two snapshots.
-    Index every = 4096;
+    Index intervalEntries = 4096;
     /// Number of entries kept before the snapshot, so that a follower that is slightly behind needs no snapshot.
     Index keep = 1024;
     /// Bytes of commands applied between two snapshots, if reached before intervalEntries. Never less than the size of the last snapshot,
@@ -128,7 +128,7 @@
     bool isSnapshotDue() const
     {
         const Snapshot &last = *m_core.snapshot();
-        return m_appliedIndex >= last.index + m_policy.every
+        return m_appliedIndex >= last.index + m_policy.intervalEntries
             || (m_appliedIndex > last.index && m_bytesSinceSnapshot >= std::max(m_policy.everyBytes, last.state.size()));
     }
 
