--- a/src/raft/replica.h
+++ b/src/raft/replica.h
@@ -24,7 +24,7 @@
     /// Maximum number of entries applied between two snapshots.
     Index intervalEntries = 4096;
     /// Number of entries kept before the snapshot, so that a follower that is slightly behind needs no snapshot.
-    Index keep = 1024;
+    Index keptEntries = 1024;
     /// Bytes of commands applied between two snapshots, if reached before intervalEntries. Never less than the size of the last snapshot,
     /// so that snapshots cost no more than the commands they replace.
     std::size_t everyBytes = 8 << 20;
@@ -135,7 +135,7 @@
     /// Returns the last index that may be discarded.
     Index keepAfter() const
     {
-        const Index oldest = std::max(m_core.log().baseIndex(), m_appliedIndex > m_policy.keep ? m_appliedIndex - m_policy.keep : 0);
+        const Index oldest = std::max(m_core.log().baseIndex(), m_appliedIndex > m_policy.keptEntries ? m_appliedIndex - m_policy.keptEntries : 0);
         std::size_t bytes = 0;
         Index index = m_appliedIndex;
         for (; index > oldest && bytes < m_policy.keepBytes; --index) {
--- a/tests/measure/logmeasure.cpp
+++ b/tests/measure/logmeasure.cpp
@@ -206,6 +206,6 @@
 
 TEST_CASE("recovery")
 {
-    measureRecovery("no snapshot", raft::SnapshotPolicy{.intervalEntries = 1'000'000, .keep = 1024});
+    measureRecovery("no snapshot", raft::SnapshotPolicy{.intervalEntries = 1'000'000, .keptEntries = 1024});
     measureRecovery("a snapshot every 4,096 entries", raft::SnapshotPolicy{});
 }
--- a/tests/raft/simulation.cpp
+++ b/tests/raft/simulation.cpp
@@ -20,7 +20,7 @@
 constexpr Duration ConvergenceTimeout = 90s;
 constexpr std::size_t VoterCount = 5;
 constexpr std::size_t VmCount = 7;
-constexpr SnapshotPolicy Snapshots{.intervalEntries = 40, .keep = 10};
+constexpr SnapshotPolicy Snapshots{.intervalEntries = 40, .keptEntries = 10};
 
 VmName vmName(std::size_t number)
 {
