--- a/src/raft/replica.h
+++ b/src/raft/replica.h
@@ -27,7 +27,7 @@
     Index keptEntries = 1024;
     /// Bytes of commands applied between two snapshots, if reached before intervalEntries. Never less than the size of the last snapshot,
     /// so that snapshots cost no more than the commands they replace.
-    std::size_t everyBytes = 8 << 20;
+    std::size_t intervalBytes = 8 << 20;
     /// Maximum bytes of commands kept before the snapshot.
     std::size_t keepBytes = 4 << 20;
 };
@@ -129,7 +129,7 @@
     {
         const Snapshot &last = *m_core.snapshot();
         return m_appliedIndex >= last.index + m_policy.intervalEntries
-            || (m_appliedIndex > last.index && m_bytesSinceSnapshot >= std::max(m_policy.everyBytes, last.state.size()));
+            || (m_appliedIndex > last.index && m_bytesSinceSnapshot >= std::max(m_policy.intervalBytes, last.state.size()));
     }
 
     /// Returns the last index that may be discarded.
