--- a/src/raft/replica.h
+++ b/src/raft/replica.h
@@ -29,7 +29,7 @@
     /// so that snapshots cost no more than the commands they replace.
     std::size_t intervalBytes = 8 << 20;
     /// Maximum bytes of commands kept before the snapshot.
-    std::size_t keepBytes = 4 << 20;
+    std::size_t maxKeptBytes = 4 << 20;
 };
 
 /// Sends votes and acknowledgements only after the writes that they depend on are synced.
@@ -138,7 +138,7 @@
         const Index oldest = std::max(m_core.log().baseIndex(), m_appliedIndex > m_policy.keptEntries ? m_appliedIndex - m_policy.keptEntries : 0);
         std::size_t bytes = 0;
         Index index = m_appliedIndex;
-        for (; index > oldest && bytes < m_policy.keepBytes; --index) {
+        for (; index > oldest && bytes < m_policy.maxKeptBytes; --index) {
             bytes += m_core.log().at(index)->command().size();
         }
         return index;
