--- a/src/raft/repair.h
+++ b/src/raft/repair.h
@@ -5,7 +5,7 @@
 namespace cumindyke::raft
 {
 
-struct RepairOptions
+struct MembershipPlannerOptions
 {
     /// Number of voters to maintain.
     std::size_t targetVoters = 1;
@@ -25,7 +25,7 @@
 class Repair
 {
 public:
-    explicit Repair(RepairOptions options)
+    explicit Repair(MembershipPlannerOptions options)
         : m_options(options)
     {
     }
@@ -51,7 +51,7 @@
     std::optional<v1::Membership> addLearner(const Core &core, TimePoint now) const;
     bool canCommit(const Core &core, const v1::Membership &next, TimePoint now) const;
 
-    const RepairOptions m_options;
+    const MembershipPlannerOptions m_options;
     std::map<VmName, Offer> m_offers;
 };
 
--- a/tests/raft/simulation.cpp
+++ b/tests/raft/simulation.cpp
@@ -126,7 +126,7 @@
         const CoreOptions options{.self = node.name, .maxBatchBytes = 64, .maxInFlightAppends = 4, .maxChunkBytes = 24, .maxPromotionLag = 8};
         node.replica = std::make_unique<Replica<SimulatedDisk, SimulatedTransport, SimulatedState, Order>>(
             options, content, m_random.generator()(), perceivedStartTime(node), Snapshots, node.disk, node.transport, node.state);
-        node.repair = std::make_unique<Repair>(RepairOptions{.targetVoters = VoterCount, .memberTimeout = 4s, .offerTimeout = 3s});
+        node.repair = std::make_unique<Repair>(MembershipPlannerOptions{.targetVoters = VoterCount, .memberTimeout = 4s, .offerTimeout = 3s});
         node.nextTick = m_now;
         node.lastLeaderSeenAt = m_now;
     }
