--- a/src/raft/repair.h
+++ b/src/raft/repair.h
@@ -22,10 +22,10 @@
 /// Runs on the leader and chooses the next membership change, one at a time: a VM with a disk is added as a learner and promoted when it
 /// has caught up, and only then is the timed-out voter removed. A voter that restarted with an empty data folder becomes a learner at once.
 /// A change is proposed only when a quorum of the voters it results in has replied recently, so that it can't get stuck half-way.
-class Repair
+class MembershipPlanner
 {
 public:
-    explicit Repair(MembershipPlannerOptions options)
+    explicit MembershipPlanner(MembershipPlannerOptions options)
         : m_options(options)
     {
     }
--- a/tests/raft/simulation.cpp
+++ b/tests/raft/simulation.cpp
@@ -78,7 +78,7 @@
         SimulatedTransport transport;
         SimulatedState state;
         std::unique_ptr<Replica<SimulatedDisk, SimulatedTransport, SimulatedState, Order>> replica;
-        std::unique_ptr<Repair> repair;
+        std::unique_ptr<MembershipPlanner> repair;
         Duration clockOffset{};
         /// Clock rate in thousandths of real time.
         Duration::rep clockRate = 1000;
@@ -126,7 +126,7 @@
         const CoreOptions options{.self = node.name, .maxBatchBytes = 64, .maxInFlightAppends = 4, .maxChunkBytes = 24, .maxPromotionLag = 8};
         node.replica = std::make_unique<Replica<SimulatedDisk, SimulatedTransport, SimulatedState, Order>>(
             options, content, m_random.generator()(), perceivedStartTime(node), Snapshots, node.disk, node.transport, node.state);
-        node.repair = std::make_unique<Repair>(MembershipPlannerOptions{.targetVoters = VoterCount, .memberTimeout = 4s, .offerTimeout = 3s});
+        node.repair = std::make_unique<MembershipPlanner>(MembershipPlannerOptions{.targetVoters = VoterCount, .memberTimeout = 4s, .offerTimeout = 3s});
         node.nextTick = m_now;
         node.lastLeaderSeenAt = m_now;
     }
