--- a/src/raft/repair.cpp
+++ b/src/raft/repair.cpp
@@ -1,4 +1,4 @@
-#include "raft/repair.h"
+#include "raft/membershipplanner.h"
 
 #include <algorithm>
 
