--- a/src/peer/credentials.h
+++ b/src/peer/credentials.h
@@ -15,25 +15,26 @@
 namespace cumindyke
 {
 
-/// PEM files for mutual TLS between operators, VMs and each other. gRPC reads them again every few seconds, so that a renewed
-/// certificate is used without a restart; renew certificate and key by renaming the folder or its symbolic link, since they must match.
+/// PEM files for mutual TLS among operators and VMs. gRPC rereads them every few seconds, so a renewed certificate is used without a
+/// restart. Certificate and key must match, so renew them together by renaming their folder or its symbolic link.
 struct TlsFiles
 {
     std::string certificate;
     std::string key;
-    /// Whose certificates are trusted, at both ends.
+    /// Certificate authority that both ends trust.
     std::string ca;
 
     bool operator==(const TlsFiles &) const = default;
 };
 
-/// Error: Invalid, when a file can't be read: gRPC itself would only fail each connection later, without naming the file.
+/// Checks that the files can be read and are PEM. Error: Invalid. gRPC itself would only fail each connection later, without naming the
+/// file.
 Result<Done> checkFiles(const TlsFiles &files);
 
-/// Credentials for calls to others; plaintext without files. The other end's certificate must be signed by the CA and name the IP
-/// address that is called.
+/// Returns the credentials for outgoing calls; plaintext without files. The certificate of the other end must be signed by the CA and name
+/// the called IP address.
 std::shared_ptr<grpc::ChannelCredentials> channelCredentials(const std::optional<TlsFiles> &files);
-/// Credentials for being called; plaintext without files. A caller must show a certificate signed by the CA.
+/// Returns the credentials of a server; plaintext without files. A caller must present a certificate signed by the CA.
 std::shared_ptr<grpc::ServerCredentials> serverCredentials(const std::optional<TlsFiles> &files);
 
 }
--- a/src/peer/datagramsocket.cpp
+++ b/src/peer/datagramsocket.cpp
@@ -16,9 +16,9 @@
 namespace
 {
 
-/// The largest datagram that IPv4 carries.
+/// Largest UDP payload over IPv4.
 constexpr std::size_t MostBytes = 65'507;
-/// Read in one go, so that a flood of datagrams leaves the loop its turns.
+/// Datagrams read per event, so that a flood of datagrams does not starve the other events of the loop.
 constexpr int MostReceivedAtOnce = 64;
 
 std::optional<sockaddr_in> socketAddress(const Address &address)
--- a/src/peer/datagramsocket.h
+++ b/src/peer/datagramsocket.h
@@ -13,20 +13,20 @@
 namespace cumindyke
 {
 
-/// A UDP socket on a task's loop, for messages that tell a whole state and of which a lost one costs nothing. With gRPC
-/// an entry VM used about 0.04 of a core for 500 calls a second; several messages a request would use up a VM that has 0.12 of one.
+/// A UDP socket on a task's event loop, for messages that carry a complete state, so that a lost one is harmless. With gRPC, an entry VM
+/// used about 0.04 of a core for 500 calls a second; several messages per request would use up a VM that has 0.12 of a core.
 class DatagramSocket
 {
 public:
-    /// Error: Unavailable, when the address can't be bound.
+    /// Binds a socket to the address. Error: Unavailable, when the address can't be bound.
     static Result<std::unique_ptr<DatagramSocket>> bind(EventLoop &loop, const Address &address);
     ~DatagramSocket();
     DatagramSocket(const DatagramSocket &) = delete;
     DatagramSocket &operator=(const DatagramSocket &) = delete;
 
-    /// Never waits; what the kernel does not take at once is lost.
+    /// Sends a datagram without blocking; it is lost if the kernel can't accept it at once.
     void send(const Address &to, std::string_view bytes);
-    /// Emitted for each datagram, with the IPv4 address of its sender.
+    /// Emitted for each datagram, with the sender's IPv4 address and the payload.
     sigc::signal<void, const std::string &, std::string_view> &received()
     {
         return m_received;
--- a/src/peer/outgoingqueue.cpp
+++ b/src/peer/outgoingqueue.cpp
@@ -10,14 +10,14 @@
 namespace
 {
 
-/// Longer than any healthy round trip between data centres; shorter than a lease.
+/// Longer than any healthy round trip between data centres, and shorter than a lease.
 constexpr Duration CallDeadline = std::chrono::milliseconds(1000);
-/// What waits for an unreachable peer is bounded; the oldest goes first, since every sender resends.
+/// Limits on the messages queued for one lane of an unreachable peer. The oldest are dropped first, since every sender resends.
 constexpr std::size_t MaxWaiting = 4096;
 constexpr std::size_t MaxWaitingBytes = 4 << 20;
 constexpr std::size_t MaxBatch = 256;
 constexpr std::size_t MaxBatchBytes = 512 << 10;
-/// Larger messages would delay the small ones behind them.
+/// Larger messages go to the bulk lane, since they would delay the small ones behind them.
 constexpr std::size_t MaxSignalBytes = 16 << 10;
 /// For all peers together: an eighth of the memory of a small VM.
 constexpr std::size_t MaxHeldBytes = 32 << 20;
--- a/src/peer/outgoingqueue.h
+++ b/src/peer/outgoingqueue.h
@@ -14,7 +14,7 @@
 namespace cumindyke
 {
 
-/// What messages to all peers together take while they wait or are under way. Safe from any thread.
+/// Bytes of all queued and in-flight messages to all peers together. Safe from any thread.
 class SendBudget
 {
 public:
@@ -30,33 +30,33 @@
     {
         return m_held;
     }
-    /// How much more bulk may be held.
+    /// Returns how many more bytes of bulk messages fit into the budget.
     std::size_t room() const;
 
 private:
     std::atomic<std::size_t> m_held = 0;
 };
 
-/// Messages of one lane keep their order and share calls; those of another lane don't wait for them.
+/// Messages of one lane keep their order and share calls; messages of different lanes don't wait for each other.
 enum class Lane {
-    Log, ///< of the replicated log, which takes messages out of order for lost ones
-    Signal, ///< small ones: beats, leases, answers
-    Bulk, ///< configurations, and whatever else is large
+    Log, ///< messages of the replicated log, which treats out-of-order messages as lost
+    Signal, ///< small messages: heartbeats, leases, answers
+    Bulk, ///< configurations and all other large messages
 };
 constexpr std::size_t LaneCount = 3;
 
-/// Messages for one peer that go in one call.
+/// Messages to one peer that are sent in one call.
 struct OutgoingBatch
 {
     Lane lane = Lane::Signal;
     std::vector<v1::Envelope> envelopes;
     std::size_t bytes = 0;
-    /// The call is given up after this, and its messages are lost.
+    /// Timeout of the call; its messages are lost when the call does not finish within it.
     Duration deadline{};
 };
 
-/// What waits for one peer, pure: decides what goes in the next call, and what is dropped when too much waits. Messages may be lost, repeated or
-/// late: every sender resends what it needs.
+/// The messages queued for one peer. Pure logic without I/O: decides which messages the next call carries, and which are dropped when too
+/// many are queued. Messages may be lost, duplicated or delayed: every sender resends what it needs.
 class OutgoingQueue
 {
 public:
@@ -65,11 +65,12 @@
     OutgoingQueue(const OutgoingQueue &) = delete;
     OutgoingQueue &operator=(const OutgoingQueue &) = delete;
 
-    /// Adds a message; the oldest of its lane go when the lane is full. Returns how many were dropped.
+    /// Enqueues a message and drops the oldest messages of its lane while the lane is full. Returns the number of dropped messages, the new
+    /// one included.
     std::size_t push(v1::Envelope envelope);
-    /// The next call of a lane that has none under way and something waiting.
+    /// Returns the next batch of a lane that has queued messages and no call in flight; empty if there is none.
     std::optional<OutgoingBatch> next();
-    /// The lane's call has ended.
+    /// Call when the lane's call has ended.
     void ended(Lane lane);
 
     std::size_t waiting() const;
--- a/src/peer/peerdatagrams.cpp
+++ b/src/peer/peerdatagrams.cpp
@@ -6,9 +6,9 @@
 namespace
 {
 
-/// A few packets; with each further one the chance grows that one is lost, and all with it.
+/// A few packets: the more packets a datagram is split into, the likelier is the loss of one, and with it of the whole datagram.
 constexpr std::size_t MostBytes = 8 << 10;
-/// Against senders that are no VMs: several times the VMs of the largest system.
+/// Bounds the memory used for senders that are no VMs. Several times the number of VMs of the largest system.
 constexpr std::size_t MostHeard = 2000;
 
 }
--- a/src/peer/peerdatagrams.h
+++ b/src/peer/peerdatagrams.h
@@ -12,17 +12,19 @@
 namespace cumindyke
 {
 
-/// Small envelopes between VMs without connections, so that a VM that hears from all others holds no connection for each: for what is told again
-/// anyway, such as beats and leases. Datagrams carry no proof of their sender, so they aren't used under TLS.
+/// Exchanges small envelopes between VMs without connections, so that a VM that receives from all others doesn't need a connection to each.
+/// Used for messages that are resent periodically anyway, such as heartbeats and leases. Datagrams don't authenticate their sender, so they
+/// aren't used under TLS.
 class PeerDatagrams
 {
 public:
-    /// VMs are named by their IPv4 addresses, and all use the same port. Error: Unavailable, when the address can't be bound.
+    /// Opens the socket. VMs are named by their IPv4 addresses, and all use the same port. Error: Unavailable, when the address can't be
+    /// bound.
     static Result<std::unique_ptr<PeerDatagrams>> open(EventLoop &loop, const Address &own);
 
-    /// False when the envelope is too large for a datagram, or the peer's name is no address.
+    /// Sends an envelope; returns false when the envelope is too large for a datagram or the peer's name is no IPv4 address.
     bool send(const VmName &to, const v1::Envelope &envelope);
-    /// Whether an envelope came from the VM that way, and it was not forgotten since.
+    /// Returns whether a datagram was received from the VM and the VM was not removed by forgetPeer() since.
     bool heardFrom(const VmName &vm) const
     {
         return m_heard.contains(vm);
--- a/src/peer/peertransport.cpp
+++ b/src/peer/peertransport.cpp
@@ -17,18 +17,18 @@
 namespace
 {
 
-/// A connection with this many passed deadlines in a row is taken for silent. The number doubles with each new connection that was of no use, up to
-/// the most: a peer that is only slow would otherwise have to accept more connections the slower it is.
+/// A connection with this many exceeded deadlines in a row is assumed dead and is replaced. The number doubles with each replacement that
+/// did not help, up to the maximum: otherwise a slow peer would have to accept more connections the slower it is.
 constexpr int DeadlinesBeforeReconnect = 2;
 constexpr int MostDeadlinesBeforeReconnect = 8;
-/// A connection without a call for so long is closed: a VM then holds connections to those that it talks to, not to all it ever talked to.
+/// A connection without a call for this long is closed, so that a VM keeps connections only to the VMs that it currently communicates with.
 constexpr int IdleConnectionMs = 60'000;
-/// Against names made up by somebody who speaks the protocol: several times the VMs of the largest system.
+/// Bounds the number of peers added by name, against invented names. Several times the number of VMs of the largest system.
 constexpr std::size_t MaxNamedPeers = 2000;
 constexpr int MaxMessageBytes = 64 << 20;
 constexpr std::chrono::seconds LossLineInterval{1};
 
-/// Counts lost messages of all links, and writes at most a line an interval. Safe from any thread.
+/// Counts the lost messages of all links, and logs at most one line per interval. Safe from any thread.
 class LossLog
 {
 public:
@@ -82,7 +82,7 @@
     }
 }
 
-/// What the links of one process share.
+/// State shared by all links of a process.
 struct Shared
 {
     explicit Shared(Metrics *metrics)
@@ -101,14 +101,15 @@
 std::shared_ptr<grpc::Channel> connectTo(const Address &address, const std::optional<TlsFiles> &tls, int attempt)
 {
     grpc::ChannelArguments arguments;
-    // Without an argument that differs, gRPC would share the old, silent connection with the new channel.
+    // Without a distinct argument, gRPC would reuse the old, dead connection for the new channel.
     arguments.SetInt("cumindyke.attempt", attempt);
     arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
     arguments.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS, 10'000);
     arguments.SetInt(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, 2'000);
     arguments.SetInt(GRPC_ARG_CLIENT_IDLE_TIMEOUT_MS, IdleConnectionMs);
-    // VMs that start together find each other soon: gRPC's own figures would wait 20 s for an attempt that began while the peer was dark. Each failed
-    // attempt gives the next one more time: a peer that accepts slowly, since many connect to it, would otherwise never be through with any.
+    // VMs that start together connect quickly with these figures; gRPC's defaults would wait 20 s for an attempt that began while the peer
+    // was unreachable. The backoff grows with each failed attempt: a peer that accepts slowly, since many VMs connect to it, would
+    // otherwise never complete a connection.
     arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, 30);
     arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, 200);
     arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, 1'000);
@@ -180,7 +181,7 @@
         for (v1::Envelope &envelope : batch.envelopes) {
             *call->batch.add_envelopes() = std::move(envelope);
         }
-        // The sender of bulk repeats it rarely, and VMs that have just started listen a moment later than they beat.
+        // Bulk messages are resent rarely, and VMs that have just started begin to listen shortly after their first heartbeat.
         call->context.set_wait_for_ready(batch.lane == Lane::Bulk);
         call->context.set_deadline(std::chrono::system_clock::now() + batch.deadline);
         m_stub->async()->Deliver(&call->context, &call->batch, &call->ack, [self = shared_from_this(), call, lane = batch.lane](const grpc::Status &status) {
@@ -231,7 +232,7 @@
     std::mutex mutex;
     std::shared_ptr<Shared> shared;
     std::map<VmName, std::shared_ptr<Link>> links;
-    /// 0: peers are known by setPeers() only.
+    /// Port of peers that are named by their address; 0: only the peers of setPeers() are known.
     std::uint16_t portOfNamed = 0;
 };
 
--- a/src/peer/peertransport.h
+++ b/src/peer/peertransport.h
@@ -13,11 +13,11 @@
 namespace cumindyke
 {
 
-/// Sends envelopes to other VMs. Messages may be lost, repeated or late, never damaged: every sender resends what it needs.
+/// Sends envelopes to other VMs. Messages may be lost, duplicated or delayed, but never corrupted: every sender resends what it needs.
 ///
-/// One call of a lane is under way to a peer at a time; what is sent meanwhile waits and goes as one batch, so the number of calls grows
-/// with round trips, not with messages, and large messages don't keep small ones waiting. Each call has a deadline, and what waits is bounded
-/// in bytes. A connection that went silent for good shows as passed deadlines, and is replaced by a new one after some in a row.
+/// Each lane has at most one call in flight to a peer. Messages sent meanwhile are queued and go as one batch, so the number of calls grows
+/// with round trips, not with messages, and large messages don't delay small ones. Each call has a deadline, and the queued bytes are
+/// bounded. A dead connection shows as several exceeded deadlines in a row and is then replaced by a new one.
 class PeerTransport
 {
 public:
@@ -26,12 +26,12 @@
     PeerTransport(const PeerTransport &) = delete;
     PeerTransport &operator=(const PeerTransport &) = delete;
 
-    /// The peers that can be reached from now on. Safe from any thread.
+    /// Replaces the list of known peers. Safe from any thread.
     void setPeers(const std::map<VmName, Address> &peers);
-    /// From now on an unknown peer whose name is an IPv4 address is reached there, at this port: where VMs come and go without notice, their
-    /// names say where they are. Safe from any thread.
+    /// Enables sending to unknown peers whose names are IPv4 addresses, at this port: where VMs are added and removed without notice, a
+    /// VM's name is its address. Safe from any thread.
     void reachByAddress(std::uint16_t port);
-    /// Safe from any thread. To an unknown peer: dropped, but see reachByAddress().
+    /// Sends an envelope; an envelope to an unknown peer is dropped, but see setDefaultPort(). Safe from any thread.
     void send(const VmName &to, v1::Envelope envelope);
 
 private:
@@ -42,17 +42,17 @@
     std::shared_ptr<Private> d;
 };
 
-/// An envelope that came from another VM.
+/// An envelope received from another VM.
 struct PeerMessage
 {
     VmName from;
     v1::Envelope envelope;
 };
 
-/// Sends an envelope to another VM, or to this one. Safe from any thread.
+/// Sends an envelope to another VM or to this one. Safe from any thread.
 using PeerSender = std::function<void(const VmName &to, v1::Envelope envelope)>;
 
-/// Takes an envelope that arrived; called from gRPC's threads, so it only posts to a mailbox.
+/// Handles a received envelope. Called from gRPC's threads, so it only posts to a mailbox.
 using PeerReceiver = std::function<void(const VmName &from, v1::Envelope &&envelope)>;
 
 }
--- a/src/peer/rpcserver.cpp
+++ b/src/peer/rpcserver.cpp
@@ -38,7 +38,7 @@
     }
 }
 
-/// Passes a unary call to its handler; the reply object lives in the call until Finish.
+/// Passes a unary call to its handler. The reply object is valid until the call is finished.
 template<typename Request, typename Reply>
 grpc::ServerUnaryReactor *
 serve(grpc::CallbackServerContext *context, const std::function<void(const Request &, Answer<Reply>)> &handler, const Request *request, Reply *reply)
@@ -59,11 +59,11 @@
     return reactor;
 }
 
-/// Writes events one at a time, as gRPC asks; what comes meanwhile waits here.
+/// Writes events one at a time, as gRPC requires; further events are queued here.
 class WatchReactor : public grpc::ServerWriteReactor<v1::Event>
 {
 public:
-    /// The handler's end of the stream; it outlives the reactor, which gRPC deletes.
+    /// The handler's end of the stream. It outlives the reactor, which gRPC deletes.
     class Sink : public EventSink
     {
     public:
--- a/src/peer/rpcserver.h
+++ b/src/peer/rpcserver.h
@@ -12,22 +12,22 @@
 namespace cumindyke
 {
 
-/// Ends an operator's call; call it once, from any thread.
+/// Completes an operator's call. Must be called exactly once, from any thread.
 template<typename Reply>
 using Answer = std::function<void(const Result<Reply> &)>;
 
-/// A stream of events to one operator's watch. Safe from any thread.
+/// The event stream of one operator's watch. Safe from any thread.
 class EventSink
 {
 public:
     virtual ~EventSink() = default;
     virtual void send(const v1::Event &event) = 0;
     virtual void end(const Error &why) = 0;
-    /// True once the operator has left or the stream has ended.
+    /// Returns true once the operator has disconnected or the stream has ended.
     virtual bool closed() const = 0;
 };
 
-/// What serves operators' calls. Called from gRPC's threads: an implementation posts to its task and answers from there.
+/// Handlers of operators' calls. Called from gRPC's threads: an implementation posts to its task and replies from there.
 struct OperatorHandlers
 {
     std::function<void(const v1::ApplyRequest &, Answer<v1::CommandReply>)> apply;
@@ -44,11 +44,11 @@
     std::function<void(const v1::RestoreSnapshotRequest &, Answer<v1::CommandReply>)> restoreSnapshot;
 };
 
-/// The gRPC server of one daemon: operators' calls and peers' messages on one address.
+/// The gRPC server of one daemon: serves operators' calls and peers' messages on one address.
 class RpcServer
 {
 public:
-    /// Error: Unavailable, when the address can't be bound. A port of 0 lets the kernel choose: see port().
+    /// Starts the server. Error: Unavailable, when the address can't be bound. With port 0 the kernel chooses the port: see port().
     static Result<std::unique_ptr<RpcServer>>
     start(const Address &address, OperatorHandlers handlers, PeerReceiver receiver, const std::optional<TlsFiles> &tls = {});
     ~RpcServer();
@@ -56,7 +56,7 @@
     RpcServer &operator=(const RpcServer &) = delete;
 
     std::uint16_t port() const;
-    /// Takes no new calls and waits for those under way, at most for the grace.
+    /// Rejects new calls and waits for the calls in progress, at most for the grace period.
     void stop(std::chrono::milliseconds grace);
 
 private:
--- a/src/peer/transfertime.h
+++ b/src/peer/transfertime.h
@@ -5,10 +5,10 @@
 namespace cumindyke
 {
 
-/// A tenth of what the narrowest links between VMs carry.
+/// A tenth of the bandwidth of the narrowest links between VMs.
 constexpr std::size_t SlowestBytesPerSecond = 128 << 10;
 
-/// How long bytes may take to another VM before they are given up.
+/// Returns how long the transfer of bytes to another VM may take before it is assumed to have failed.
 constexpr Duration transferTime(std::size_t bytes)
 {
     return std::chrono::milliseconds(bytes * std::milli::den / SlowestBytesPerSecond);
--- a/src/raft/core.cpp
+++ b/src/raft/core.cpp
@@ -202,7 +202,7 @@
 Effects Core::takeEffects()
 {
     while (m_lastReturnedIndex < m_commitIndex) {
-        m_effects.committed.push_back(m_log.at(++m_lastReturnedIndex));
+        m_effects.committedEntries.push_back(m_log.at(++m_lastReturnedIndex));
     }
     m_writtenIndex = m_log.lastIndex();
     // Messages carry the term. A term that is not durable must not reach other replicas: after a crash it would be used a second time.
--- a/src/raft/core.h
+++ b/src/raft/core.h
@@ -39,11 +39,11 @@
     std::vector<v1::RaftMessage> messagesAfterSync;
     /// Snapshot that replaces the applied state before the committed entries are applied; null when there is none.
     SnapshotPointer installedSnapshot;
-    std::vector<EntryPointer> committed;
+    std::vector<EntryPointer> committedEntries;
 
     bool empty() const
     {
-        return messages.empty() && writes.empty() && messagesAfterSync.empty() && !installedSnapshot && committed.empty();
+        return messages.empty() && writes.empty() && messagesAfterSync.empty() && !installedSnapshot && committedEntries.empty();
     }
 };
 
@@ -101,7 +101,7 @@
     /// Transfers leadership to a voter once that voter has the whole log; commands are rejected meanwhile. Returns false when this replica
     /// is not the leader or there is no such voter.
     bool transferLeadership(const VmName &to, TimePoint now);
-    /// Returns the voter with the longest log, a leadership transfer's best target.
+    /// Returns the voter with the longest log: the best target of a leadership transfer.
     std::optional<VmName> bestSuccessor() const;
 
     Effects takeEffects();
@@ -244,7 +244,7 @@
     TimePoint m_lastLeaderContactAt;
     /// Random; differs at each start of the process.
     const std::uint64_t m_processId;
-    /// True from a restart until this replica has heard from a leader or granted a vote.
+    /// True from a restart until this replica receives a message of a leader or grants a vote.
     bool m_isFreshlyRestarted = true;
     /// Set once no leader can still rely on a promise to withhold votes that this replica made before its restart.
     bool m_isVotePromiseOver = false;
--- a/src/raft/filestorage.h
+++ b/src/raft/filestorage.h
@@ -20,7 +20,7 @@
 ///   NNNNNNNNNN.segment    the log, in the order of the numbers
 ///
 /// The first three files hold one frame each and are replaced by rename. Segments are append-only: a batch that starts before the end of
-/// the log supersedes the entries from there on, so that acknowledged bytes are never overwritten in position.
+/// the log supersedes the entries from there on, so that acknowledged bytes are never overwritten in place.
 template<FileSystem F>
 class FileStorage
 {
@@ -331,7 +331,7 @@
     return done;
 }
 
-/// Removes the first segments. When all are removed, the newestTerm goes first, so that a crash leaves the start of the log; otherwise the
+/// Removes the first segments. When all are removed, the newest goes first, so that a crash leaves the start of the log; otherwise the
 /// oldest goes first.
 template<FileSystem F>
 Result<Done> FileStorage<F>::removeSegments(std::size_t count)
--- a/src/raft/replica.h
+++ b/src/raft/replica.h
@@ -118,7 +118,7 @@
             m_appliedIndex = effects.installedSnapshot->index;
             m_bytesSinceSnapshot = 0;
         }
-        for (const EntryPointer &entry : effects.committed) {
+        for (const EntryPointer &entry : effects.committedEntries) {
             m_state.apply(*entry);
             m_bytesSinceSnapshot += entry->command().size();
             m_appliedIndex = entry->index();
--- a/src/raft/replicatedlog.cpp
+++ b/src/raft/replicatedlog.cpp
@@ -67,9 +67,9 @@
         : options(std::move(logOptions))
         , storage(files, options.dataFolder)
         , sender{options.send}
-        , repair(MembershipPlannerOptions{.targetVoters = std::max<std::size_t>({options.initialVoters.size(), options.wantedVoters, 1}),
-                                          .minVoters = options.wantedVoters == 0 ? 0 : MinVoters,
-                                          .memberTimeout = options.replacementTimeout})
+        , membershipPlanner(MembershipPlannerOptions{.targetVoters = std::max<std::size_t>({options.initialVoters.size(), options.wantedVoters, 1}),
+                                                     .minVoters = options.wantedVoters == 0 ? 0 : MinVoters,
+                                                     .memberTimeout = options.replacementTimeout})
     {
     }
 
@@ -78,7 +78,7 @@
     void startReplica(TimePoint now);
     void handleFormation(const v1::RaftMessage &message, TimePoint now);
     void offerIfNotMember(TimePoint now);
-    void repairMembership(TimePoint now);
+    void proposeMembershipChange(TimePoint now);
     void requestFlush();
     void flush(TimePoint now);
     void reportChanges();
@@ -89,7 +89,7 @@
     FileStorage<PosixFileSystem> storage;
     Sender sender;
     State state;
-    MembershipPlanner repair;
+    MembershipPlanner membershipPlanner;
     Recovered recovered;
     std::unique_ptr<Formation> formation;
     std::unique_ptr<LogReplica> replica;
@@ -194,9 +194,9 @@
     sender.send(std::move(offer));
 }
 
-void ReplicatedLog::Private::repairMembership(TimePoint now)
+void ReplicatedLog::Private::proposeMembershipChange(TimePoint now)
 {
-    if (const auto change = repair.nextChange(replica->core(), now)) {
+    if (const auto change = membershipPlanner.nextChange(replica->core(), now)) {
         replica->core().changeMembership(*change, now);
     }
 }
@@ -285,7 +285,7 @@
     if (isFormation) {
         d->handleFormation(message, now);
     } else if (message.kind() == v1::RaftMessage::STANDBY) {
-        d->repair.recordOffer(VmName{message.from()}, message.incarnation(), now);
+        d->membershipPlanner.recordOffer(VmName{message.from()}, message.incarnation(), now);
     } else if (d->replica) {
         d->replica->core().step(message, now);
         d->requestFlush();
@@ -308,7 +308,7 @@
     }
     d->replica->core().tick(now);
     d->offerIfNotMember(now);
-    d->repairMembership(now);
+    d->proposeMembershipChange(now);
     d->requestFlush();
 }
 
--- a/tests/raft/simulation.h
+++ b/tests/raft/simulation.h
@@ -81,7 +81,7 @@
     SimultaneousRestarts,
 };
 
-/// Runs one history: half a minute of faultProfile, then a healed network, then the checks.
+/// Runs one history: half a minute of faults, then a healed network, then the checks.
 template<typename Order = SyncThenSend>
 SimulationResult simulate(std::uint64_t seed, InjectedFault injectedFault = InjectedFault::None, FaultProfile faultProfile = FaultProfile::Usual);
 
