--- a/src/peer/credentials.cpp
+++ b/src/peer/credentials.cpp
@@ -11,12 +11,12 @@
 namespace
 {
 
-constexpr unsigned int RefreshSeconds = 5;
+constexpr unsigned int RefreshIntervalSeconds = 5;
 
-void watch(grpc::experimental::TlsCredentialsOptions &options, const TlsFiles &files)
+void watchFiles(grpc::experimental::TlsCredentialsOptions &options, const TlsFiles &files)
 {
     options.set_certificate_provider(
-        std::make_shared<grpc::experimental::FileWatcherCertificateProvider>(files.key, files.certificate, files.ca, RefreshSeconds));
+        std::make_shared<grpc::experimental::FileWatcherCertificateProvider>(files.key, files.certificate, files.ca, RefreshIntervalSeconds));
     options.watch_root_certs();
     options.watch_identity_key_cert_pairs();
 }
@@ -43,7 +43,7 @@
         return grpc::InsecureChannelCredentials();
     }
     grpc::experimental::TlsChannelCredentialsOptions options;
-    watch(options, *files);
+    watchFiles(options, *files);
     return grpc::experimental::TlsCredentials(options);
 }
 
@@ -53,7 +53,7 @@
         return grpc::InsecureServerCredentials();
     }
     grpc::experimental::TlsServerCredentialsOptions options(
-        std::make_shared<grpc::experimental::FileWatcherCertificateProvider>(files->key, files->certificate, files->ca, RefreshSeconds));
+        std::make_shared<grpc::experimental::FileWatcherCertificateProvider>(files->key, files->certificate, files->ca, RefreshIntervalSeconds));
     options.watch_root_certs();
     options.watch_identity_key_cert_pairs();
     options.set_cert_request_type(GRPC_SSL_REQUEST_AND_REQUIRE_CLIENT_CERTIFICATE_AND_VERIFY);
--- a/src/peer/datagramsocket.cpp
+++ b/src/peer/datagramsocket.cpp
@@ -17,9 +17,9 @@
 {
 
 /// Largest UDP payload over IPv4.
-constexpr std::size_t MostBytes = 65'507;
+constexpr std::size_t MaxPayloadBytes = 65'507;
 /// Datagrams read per event, so that a flood of datagrams does not starve the other events of the loop.
-constexpr int MostReceivedAtOnce = 64;
+constexpr int MaxDatagramsPerEvent = 64;
 
 std::optional<sockaddr_in> socketAddress(const Address &address)
 {
@@ -36,9 +36,9 @@
 
 Result<std::unique_ptr<DatagramSocket>> DatagramSocket::bind(EventLoop &loop, const Address &address)
 {
-    const std::optional<sockaddr_in> own = socketAddress(address);
-    const int socket = own ? ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0) : -1;
-    if (socket < 0 || ::bind(socket, reinterpret_cast<const sockaddr *>(&*own), sizeof *own) != 0) {
+    const std::optional<sockaddr_in> localAddress = socketAddress(address);
+    const int socket = localAddress ? ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0) : -1;
+    if (socket < 0 || ::bind(socket, reinterpret_cast<const sockaddr *>(&*localAddress), sizeof *localAddress) != 0) {
         if (socket >= 0) {
             close(socket);
         }
@@ -50,7 +50,7 @@
 
 DatagramSocket::DatagramSocket(EventLoop &loop, int socket)
     : m_socket(socket)
-    , m_event(event_new(loop.base(), socket, EV_READ | EV_PERSIST, &DatagramSocket::readable, this))
+    , m_event(event_new(loop.base(), socket, EV_READ | EV_PERSIST, &DatagramSocket::onReadable, this))
 {
     event_add(m_event, nullptr);
 }
@@ -69,15 +69,15 @@
     }
 }
 
-void DatagramSocket::readable(int /*fd*/, short /*what*/, void *self)
+void DatagramSocket::onReadable(int /*fd*/, short /*what*/, void *self)
 {
     static_cast<DatagramSocket *>(self)->receive();
 }
 
 void DatagramSocket::receive()
 {
-    static thread_local std::array<char, MostBytes> buffer;
-    for (int i = 0; i < MostReceivedAtOnce; ++i) {
+    static thread_local std::array<char, MaxPayloadBytes> buffer;
+    for (int i = 0; i < MaxDatagramsPerEvent; ++i) {
         sockaddr_in from{};
         socklen_t length = sizeof from;
         const ssize_t size = recvfrom(m_socket, buffer.data(), buffer.size(), MSG_DONTWAIT, reinterpret_cast<sockaddr *>(&from), &length);
--- a/src/peer/datagramsocket.h
+++ b/src/peer/datagramsocket.h
@@ -34,7 +34,7 @@
 
 private:
     DatagramSocket(EventLoop &loop, int socket);
-    static void readable(int fd, short what, void *self);
+    static void onReadable(int fd, short what, void *self);
     void receive();
 
     const int m_socket;
--- a/src/peer/outgoingqueue.cpp
+++ b/src/peer/outgoingqueue.cpp
@@ -11,11 +11,11 @@
 {
 
 /// Longer than any healthy round trip between data centres, and shorter than a lease.
-constexpr Duration CallDeadline = std::chrono::milliseconds(1000);
+constexpr Duration BaseCallTimeout = std::chrono::milliseconds(1000);
 /// Limits on the messages queued for one lane of an unreachable peer. The oldest are dropped first, since every sender resends.
-constexpr std::size_t MaxWaiting = 4096;
-constexpr std::size_t MaxWaitingBytes = 4 << 20;
-constexpr std::size_t MaxBatch = 256;
+constexpr std::size_t MaxQueuedMessages = 4096;
+constexpr std::size_t MaxQueuedBytes = 4 << 20;
+constexpr std::size_t MaxBatchMessages = 256;
 constexpr std::size_t MaxBatchBytes = 512 << 10;
 /// Larger messages go to the bulk lane, since they would delay the small ones behind them.
 constexpr std::size_t MaxSignalBytes = 16 << 10;
@@ -32,7 +32,7 @@
 
 }
 
-std::size_t SendBudget::room() const
+std::size_t SendBudget::available() const
 {
     const std::size_t held = m_held;
     return held < MaxHeldBytes ? MaxHeldBytes - held : 0;
@@ -46,7 +46,7 @@
 OutgoingQueue::~OutgoingQueue()
 {
     for (const Queue &queue : m_queues) {
-        m_budget->release(queue.waitingBytes + queue.underWayBytes);
+        m_budget->release(queue.queuedBytes + queue.inFlightBytes);
     }
 }
 
@@ -56,35 +56,35 @@
     const Lane lane = laneOf(envelope, bytes);
     Queue &queue = m_queues[static_cast<std::size_t>(lane)];
     std::size_t dropped = 0;
-    while (!queue.waiting.empty() && (queue.waiting.size() >= MaxWaiting || queue.waitingBytes + bytes > MaxWaitingBytes)) {
+    while (!queue.messages.empty() && (queue.messages.size() >= MaxQueuedMessages || queue.queuedBytes + bytes > MaxQueuedBytes)) {
         dropOldest(queue);
         dropped += 1;
     }
-    while (lane == Lane::Bulk && !queue.waiting.empty() && bytes > m_budget->room()) {
+    while (lane == Lane::Bulk && !queue.messages.empty() && bytes > m_budget->available()) {
         dropOldest(queue);
         dropped += 1;
     }
-    if (lane == Lane::Bulk && bytes > m_budget->room()) {
+    if (lane == Lane::Bulk && bytes > m_budget->available()) {
         return dropped + 1;
     }
-    m_budget->add(bytes);
-    queue.waitingBytes += bytes;
-    queue.waiting.push_back(Message{.envelope = std::move(envelope), .bytes = bytes});
+    m_budget->acquire(bytes);
+    queue.queuedBytes += bytes;
+    queue.messages.push_back(Message{.envelope = std::move(envelope), .bytes = bytes});
     return dropped;
 }
 
 void OutgoingQueue::dropOldest(Queue &queue)
 {
-    m_budget->release(queue.waiting.front().bytes);
-    queue.waitingBytes -= queue.waiting.front().bytes;
-    queue.waiting.pop_front();
+    m_budget->release(queue.messages.front().bytes);
+    queue.queuedBytes -= queue.messages.front().bytes;
+    queue.messages.pop_front();
 }
 
 std::optional<OutgoingBatch> OutgoingQueue::next()
 {
     for (std::size_t lane = 0; lane < LaneCount; ++lane) {
         Queue &queue = m_queues[lane];
-        if (!queue.underWay && !queue.waiting.empty()) {
+        if (!queue.isCallInFlight && !queue.messages.empty()) {
             return takeBatch(static_cast<Lane>(lane), queue);
         }
     }
@@ -94,34 +94,34 @@
 OutgoingBatch OutgoingQueue::takeBatch(Lane lane, Queue &queue)
 {
     OutgoingBatch batch{.lane = lane};
-    while (!queue.waiting.empty() && batch.envelopes.size() < MaxBatch) {
-        Message &message = queue.waiting.front();
+    while (!queue.messages.empty() && batch.envelopes.size() < MaxBatchMessages) {
+        Message &message = queue.messages.front();
         if (!batch.envelopes.empty() && batch.bytes + message.bytes > MaxBatchBytes) {
             break;
         }
         batch.bytes += message.bytes;
         batch.envelopes.push_back(std::move(message.envelope));
-        queue.waiting.pop_front();
+        queue.messages.pop_front();
     }
-    batch.deadline = CallDeadline + transferTime(batch.bytes);
-    queue.waitingBytes -= batch.bytes;
-    queue.underWayBytes = batch.bytes;
-    queue.underWay = true;
+    batch.deadline = BaseCallTimeout + transferTime(batch.bytes);
+    queue.queuedBytes -= batch.bytes;
+    queue.inFlightBytes = batch.bytes;
+    queue.isCallInFlight = true;
     return batch;
 }
 
 void OutgoingQueue::ended(Lane lane)
 {
     Queue &queue = m_queues[static_cast<std::size_t>(lane)];
-    queue.underWay = false;
-    m_budget->release(std::exchange(queue.underWayBytes, 0));
+    queue.isCallInFlight = false;
+    m_budget->release(std::exchange(queue.inFlightBytes, 0));
 }
 
-std::size_t OutgoingQueue::waiting() const
+std::size_t OutgoingQueue::queuedCount() const
 {
     std::size_t count = 0;
     for (const Queue &queue : m_queues) {
-        count += queue.waiting.size();
+        count += queue.messages.size();
     }
     return count;
 }
--- a/src/peer/outgoingqueue.h
+++ b/src/peer/outgoingqueue.h
@@ -18,7 +18,7 @@
 class SendBudget
 {
 public:
-    void add(std::size_t bytes)
+    void acquire(std::size_t bytes)
     {
         m_held += bytes;
     }
@@ -31,7 +31,7 @@
         return m_held;
     }
     /// Returns how many more bytes of bulk messages fit into the budget.
-    std::size_t room() const;
+    std::size_t available() const;
 
 private:
     std::atomic<std::size_t> m_held = 0;
@@ -70,10 +70,10 @@
     std::size_t push(v1::Envelope envelope);
     /// Returns the next batch of a lane that has queued messages and no call in flight; empty if there is none.
     std::optional<OutgoingBatch> next();
-    /// Call when the lane's call has ended.
+    /// Records that the call of a lane has ended.
     void ended(Lane lane);
 
-    std::size_t waiting() const;
+    std::size_t queuedCount() const;
 
 private:
     struct Message
@@ -83,10 +83,10 @@
     };
     struct Queue
     {
-        std::deque<Message> waiting;
-        std::size_t waitingBytes = 0;
-        std::size_t underWayBytes = 0;
-        bool underWay = false;
+        std::deque<Message> messages;
+        std::size_t queuedBytes = 0;
+        std::size_t inFlightBytes = 0;
+        bool isCallInFlight = false;
     };
 
     OutgoingBatch takeBatch(Lane lane, Queue &queue);
--- a/src/peer/peerdatagrams.h
+++ b/src/peer/peerdatagrams.h
@@ -20,18 +20,18 @@
 public:
     /// Opens the socket. VMs are named by their IPv4 addresses, and all use the same port. Error: Unavailable, when the address can't be
     /// bound.
-    static Result<std::unique_ptr<PeerDatagrams>> open(EventLoop &loop, const Address &own);
+    static Result<std::unique_ptr<PeerDatagrams>> open(EventLoop &loop, const Address &ownAddress);
 
     /// Sends an envelope; returns false when the envelope is too large for a datagram or the peer's name is no IPv4 address.
     bool send(const VmName &to, const v1::Envelope &envelope);
-    /// Returns whether a datagram was received from the VM and the VM was not removed by forgetPeer() since.
+    /// Returns whether a datagram was received from the VM since it was last removed by removeSender().
     bool heardFrom(const VmName &vm) const
     {
-        return m_heard.contains(vm);
+        return m_senders.contains(vm);
     }
     void forget(const VmName &vm)
     {
-        m_heard.erase(vm);
+        m_senders.erase(vm);
     }
     /// Emitted on the loop for each envelope from another VM.
     sigc::signal<void, PeerMessage &> &received()
@@ -40,12 +40,12 @@
     }
 
 private:
-    PeerDatagrams(std::unique_ptr<DatagramSocket> socket, const Address &own);
-    void take(const std::string &host, std::string_view bytes);
+    PeerDatagrams(std::unique_ptr<DatagramSocket> socket, const Address &ownAddress);
+    void handleDatagram(const std::string &host, std::string_view bytes);
 
     const std::unique_ptr<DatagramSocket> m_socket;
-    const Address m_own;
-    std::set<VmName> m_heard;
+    const Address m_ownAddress;
+    std::set<VmName> m_senders;
     sigc::signal<void, PeerMessage &> m_received;
 };
 
--- a/src/peer/peertransport.cpp
+++ b/src/peer/peertransport.cpp
@@ -19,14 +19,14 @@
 
 /// A connection with this many exceeded deadlines in a row is assumed dead and is replaced. The number doubles with each replacement that
 /// did not help, up to the maximum: otherwise a slow peer would have to accept more connections the slower it is.
-constexpr int DeadlinesBeforeReconnect = 2;
-constexpr int MostDeadlinesBeforeReconnect = 8;
+constexpr int MinTimeoutsBeforeReconnect = 2;
+constexpr int MaxTimeoutsBeforeReconnect = 8;
 /// A connection without a call for this long is closed, so that a VM keeps connections only to the VMs that it currently communicates with.
-constexpr int IdleConnectionMs = 60'000;
+constexpr int IdleConnectionTimeoutMs = 60'000;
 /// Bounds the number of peers added by name, against invented names. Several times the number of VMs of the largest system.
 constexpr std::size_t MaxNamedPeers = 2000;
 constexpr int MaxMessageBytes = 64 << 20;
-constexpr std::chrono::seconds LossLineInterval{1};
+constexpr std::chrono::seconds LossLogInterval{1};
 
 /// Counts the lost messages of all links, and logs at most one line per interval. Safe from any thread.
 class LossLog
@@ -37,7 +37,7 @@
     {
     }
 
-    void lost(const VmName &peer, const std::string &why, std::size_t batchBytes, std::size_t waiting)
+    void recordLoss(const VmName &peer, const std::string &why, std::size_t batchBytes, std::size_t queuedCount)
     {
         if (m_metrics) {
             m_metrics->counter("cumindyke_peer_losses_total", "Calls to other VMs, or messages of full queues, that were lost", {{"why", why}}).add();
@@ -46,10 +46,10 @@
         m_losses += 1;
         m_peers.insert(peer);
         const auto now = std::chrono::steady_clock::now();
-        if (now < m_nextLine) {
+        if (now < m_nextLineAt) {
             return;
         }
-        m_nextLine = now + LossLineInterval;
+        m_nextLineAt = now + LossLogInterval;
         logChange("peer",
                   "messages-lost",
                   {{"losses", std::to_string(m_losses)},
@@ -57,7 +57,7 @@
                    {"last_peer", peer.value},
                    {"why", why},
                    {"batch_bytes", std::to_string(batchBytes)},
-                   {"waiting", std::to_string(waiting)}});
+                   {"waiting", std::to_string(queuedCount)}});
         m_losses = 0;
         m_peers.clear();
     }
@@ -65,7 +65,7 @@
 private:
     Metrics *const m_metrics;
     std::mutex m_mutex;
-    std::chrono::steady_clock::time_point m_nextLine{};
+    std::chrono::steady_clock::time_point m_nextLineAt{};
     std::size_t m_losses = 0;
     std::set<VmName> m_peers;
 };
@@ -89,12 +89,12 @@
         : losses(metrics)
     {
         if (metrics) {
-            bytesHeld = metrics->gauge("cumindyke_peer_held_bytes", "Messages to other VMs that wait or are under way");
+            heldBytes = metrics->gauge("cumindyke_peer_held_bytes", "Messages to other VMs that wait or are under way");
         }
     }
 
     std::shared_ptr<SendBudget> budget = std::make_shared<SendBudget>();
-    std::optional<Gauge> bytesHeld;
+    std::optional<Gauge> heldBytes;
     LossLog losses;
 };
 
@@ -106,7 +106,7 @@
     arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
     arguments.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS, 10'000);
     arguments.SetInt(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, 2'000);
-    arguments.SetInt(GRPC_ARG_CLIENT_IDLE_TIMEOUT_MS, IdleConnectionMs);
+    arguments.SetInt(GRPC_ARG_CLIENT_IDLE_TIMEOUT_MS, IdleConnectionTimeoutMs);
     // VMs that start together connect quickly with these figures; gRPC's defaults would wait 20 s for an attempt that began while the peer
     // was unreachable. The backoff grows with each failed attempt: a peer that accepts slowly, since many VMs connect to it, would
     // otherwise never complete a connection.
@@ -119,7 +119,7 @@
 
 }
 
-/// The state of sending to one peer. Calls end on gRPC's threads, so everything is under the lock.
+/// The connection, queue and calls of one peer. Calls end on gRPC's threads, so all state is guarded by the mutex.
 class PeerTransport::Link : public std::enable_shared_from_this<PeerTransport::Link>
 {
 public:
@@ -142,10 +142,10 @@
     {
         const std::lock_guard lock(m_mutex);
         if (m_queue.push(std::move(envelope)) > 0) {
-            m_shared->losses.lost(m_peer, "queue-full", 0, m_queue.waiting());
+            m_shared->losses.recordLoss(m_peer, "queue-full", 0, m_queue.queuedCount());
         }
-        noteHeld();
-        startCalls();
+        updateHeldBytes();
+        startPendingCalls();
     }
 
 private:
@@ -156,14 +156,14 @@
         v1::PeerAck ack;
     };
 
-    void noteHeld()
+    void updateHeldBytes()
     {
-        if (m_shared->bytesHeld) {
-            m_shared->bytesHeld->set(static_cast<double>(m_shared->budget->held()));
+        if (m_shared->heldBytes) {
+            m_shared->heldBytes->set(static_cast<double>(m_shared->budget->held()));
         }
     }
 
-    void startCalls()
+    void startPendingCalls()
     {
         while (std::optional<OutgoingBatch> batch = m_queue.next()) {
             startCall(std::move(*batch));
@@ -185,28 +185,28 @@
         call->context.set_wait_for_ready(batch.lane == Lane::Bulk);
         call->context.set_deadline(std::chrono::system_clock::now() + batch.deadline);
         m_stub->async()->Deliver(&call->context, &call->batch, &call->ack, [self = shared_from_this(), call, lane = batch.lane](const grpc::Status &status) {
-            self->callEnded(lane, status, call->batch);
+            self->onCallEnded(lane, status, call->batch);
         });
     }
 
-    void callEnded(Lane lane, const grpc::Status &status, const v1::PeerBatch &batch)
+    void onCallEnded(Lane lane, const grpc::Status &status, const v1::PeerBatch &batch)
     {
         const std::lock_guard lock(m_mutex);
         m_queue.ended(lane);
-        noteHeld();
+        updateHeldBytes();
         if (!status.ok()) {
-            m_shared->losses.lost(m_peer, reasonOf(status), batch.ByteSizeLong(), m_queue.waiting());
+            m_shared->losses.recordLoss(m_peer, reasonOf(status), batch.ByteSizeLong(), m_queue.queuedCount());
         }
         if (status.ok()) {
-            m_deadlinesBeforeReconnect = DeadlinesBeforeReconnect;
+            m_timeoutsBeforeReconnect = MinTimeoutsBeforeReconnect;
         }
-        m_passedDeadlines = status.error_code() == grpc::StatusCode::DEADLINE_EXCEEDED ? m_passedDeadlines + 1 : 0;
-        if (m_passedDeadlines >= m_deadlinesBeforeReconnect) {
-            m_passedDeadlines = 0;
-            m_deadlinesBeforeReconnect = std::min(2 * m_deadlinesBeforeReconnect, MostDeadlinesBeforeReconnect);
+        m_consecutiveTimeouts = status.error_code() == grpc::StatusCode::DEADLINE_EXCEEDED ? m_consecutiveTimeouts + 1 : 0;
+        if (m_consecutiveTimeouts >= m_timeoutsBeforeReconnect) {
+            m_consecutiveTimeouts = 0;
+            m_timeoutsBeforeReconnect = std::min(2 * m_timeoutsBeforeReconnect, MaxTimeoutsBeforeReconnect);
             m_stub.reset();
         }
-        startCalls();
+        startPendingCalls();
     }
 
     const VmName m_self;
@@ -217,8 +217,8 @@
     std::unique_ptr<v1::Peer::Stub> m_stub;
     const std::shared_ptr<Shared> m_shared;
     OutgoingQueue m_queue;
-    int m_passedDeadlines = 0;
-    int m_deadlinesBeforeReconnect = DeadlinesBeforeReconnect;
+    int m_consecutiveTimeouts = 0;
+    int m_timeoutsBeforeReconnect = MinTimeoutsBeforeReconnect;
     int m_attempt = 0;
 };
 
@@ -233,7 +233,7 @@
     std::shared_ptr<Shared> shared;
     std::map<VmName, std::shared_ptr<Link>> links;
     /// Port of peers that are named by their address; 0: only the peers of setPeers() are known.
-    std::uint16_t portOfNamed = 0;
+    std::uint16_t defaultPort = 0;
 };
 
 PeerTransport::PeerTransport(VmName self, std::optional<TlsFiles> tls, Metrics *metrics)
@@ -251,8 +251,8 @@
     std::map<VmName, std::shared_ptr<Link>> links;
     for (const auto &[peer, address] : peers) {
         const auto known = d->links.find(peer);
-        const bool same = known != d->links.end() && known->second->address() == address;
-        links.emplace(peer, same ? known->second : std::make_shared<Link>(m_self, peer, address, m_tls, d->shared));
+        const bool isUnchanged = known != d->links.end() && known->second->address() == address;
+        links.emplace(peer, isUnchanged ? known->second : std::make_shared<Link>(m_self, peer, address, m_tls, d->shared));
     }
     d->links.swap(links);
 }
@@ -260,7 +260,7 @@
 void PeerTransport::reachByAddress(std::uint16_t port)
 {
     const std::lock_guard lock(d->mutex);
-    d->portOfNamed = port;
+    d->defaultPort = port;
 }
 
 void PeerTransport::send(const VmName &to, v1::Envelope envelope)
@@ -270,11 +270,11 @@
         const std::lock_guard lock(d->mutex);
         auto known = d->links.find(to);
         if (known == d->links.end()) {
-            const Result<Address> named = parseAddress(to.value + ":" + std::to_string(d->portOfNamed));
-            if (d->portOfNamed == 0 || !ok(named) || d->links.size() >= MaxNamedPeers) {
+            const Result<Address> address = parseAddress(to.value + ":" + std::to_string(d->defaultPort));
+            if (d->defaultPort == 0 || !ok(address) || d->links.size() >= MaxNamedPeers) {
                 return;
             }
-            known = d->links.emplace(to, std::make_shared<Link>(m_self, to, valueOf(named), m_tls, d->shared)).first;
+            known = d->links.emplace(to, std::make_shared<Link>(m_self, to, valueOf(address), m_tls, d->shared)).first;
         }
         link = known->second;
     }
--- a/src/peer/rpcserver.cpp
+++ b/src/peer/rpcserver.cpp
@@ -41,11 +41,11 @@
 /// Passes a unary call to its handler. The reply object is valid until the call is finished.
 template<typename Request, typename Reply>
 grpc::ServerUnaryReactor *
-serve(grpc::CallbackServerContext *context, const std::function<void(const Request &, Answer<Reply>)> &handler, const Request *request, Reply *reply)
+serveUnary(grpc::CallbackServerContext *context, const std::function<void(const Request &, Answer<Reply>)> &handler, const Request *request, Reply *reply)
 {
     grpc::ServerUnaryReactor *reactor = context->DefaultReactor();
     if (!handler) {
-        reactor->Finish({grpc::StatusCode::UNIMPLEMENTED, "this VM does not serve the call: ask one with the role"});
+        reactor->Finish({grpc::StatusCode::UNIMPLEMENTED, "this VM does not serve this call: send it to a VM with the role"});
         return reactor;
     }
     handler(*request, [reactor, reply](const Result<Reply> &result) {
@@ -75,7 +75,7 @@
         {
             const std::lock_guard lock(m_mutex);
             if (m_reactor) {
-                m_reactor->push(event);
+                m_reactor->enqueue(event);
             }
         }
         void end(const Error &why) override
@@ -118,9 +118,9 @@
             return;
         }
         const std::lock_guard lock(m_mutex);
-        m_waiting.pop_front();
-        if (!m_waiting.empty() && !m_finished) {
-            StartWrite(&m_waiting.front());
+        m_queuedEvents.pop_front();
+        if (!m_queuedEvents.empty() && !m_finished) {
+            StartWrite(&m_queuedEvents.front());
         }
     }
 
@@ -136,15 +136,15 @@
     }
 
 private:
-    void push(const v1::Event &event)
+    void enqueue(const v1::Event &event)
     {
         const std::lock_guard lock(m_mutex);
         if (m_finished) {
             return;
         }
-        m_waiting.push_back(event);
-        if (m_waiting.size() == 1) {
-            StartWrite(&m_waiting.front());
+        m_queuedEvents.push_back(event);
+        if (m_queuedEvents.size() == 1) {
+            StartWrite(&m_queuedEvents.front());
         }
     }
 
@@ -159,7 +159,7 @@
 
     std::shared_ptr<Sink> m_sink;
     std::mutex m_mutex;
-    std::deque<v1::Event> m_waiting;
+    std::deque<v1::Event> m_queuedEvents;
     bool m_finished = false;
 };
 
@@ -173,11 +173,11 @@
 
     grpc::ServerUnaryReactor *Apply(grpc::CallbackServerContext *context, const v1::ApplyRequest *request, v1::CommandReply *reply) override
     {
-        return serve(context, m_handlers.apply, request, reply);
+        return serveUnary(context, m_handlers.apply, request, reply);
     }
     grpc::ServerUnaryReactor *Get(grpc::CallbackServerContext *context, const v1::GetRequest *request, v1::Declarations *reply) override
     {
-        return serve(context, m_handlers.get, request, reply);
+        return serveUnary(context, m_handlers.get, request, reply);
     }
     grpc::ServerWriteReactor<v1::Event> *Watch(grpc::CallbackServerContext * /*context*/, const v1::WatchRequest *request) override
     {
@@ -187,39 +187,39 @@
     }
     grpc::ServerUnaryReactor *History(grpc::CallbackServerContext *context, const v1::HistoryRequest *request, v1::HistoryReply *reply) override
     {
-        return serve(context, m_handlers.history, request, reply);
+        return serveUnary(context, m_handlers.history, request, reply);
     }
     grpc::ServerUnaryReactor *StartMove(grpc::CallbackServerContext *context, const v1::StartMoveRequest *request, v1::CommandReply *reply) override
     {
-        return serve(context, m_handlers.startMove, request, reply);
+        return serveUnary(context, m_handlers.startMove, request, reply);
     }
     grpc::ServerUnaryReactor *AbortMove(grpc::CallbackServerContext *context, const v1::AbortMoveRequest *request, v1::CommandReply *reply) override
     {
-        return serve(context, m_handlers.abortMove, request, reply);
+        return serveUnary(context, m_handlers.abortMove, request, reply);
     }
     grpc::ServerUnaryReactor *Moves(grpc::CallbackServerContext *context, const v1::MovesRequest *request, v1::MovesReply *reply) override
     {
-        return serve(context, m_handlers.moves, request, reply);
+        return serveUnary(context, m_handlers.moves, request, reply);
     }
     grpc::ServerUnaryReactor *Members(grpc::CallbackServerContext *context, const v1::MembersRequest *request, v1::MembersReply *reply) override
     {
-        return serve(context, m_handlers.members, request, reply);
+        return serveUnary(context, m_handlers.members, request, reply);
     }
     grpc::ServerUnaryReactor *ChangeMembers(grpc::CallbackServerContext *context, const v1::ChangeMembersRequest *request, v1::CommandReply *reply) override
     {
-        return serve(context, m_handlers.changeMembers, request, reply);
+        return serveUnary(context, m_handlers.changeMembers, request, reply);
     }
     grpc::ServerUnaryReactor *Report(grpc::CallbackServerContext *context, const v1::ReportRequest *request, v1::ReportReply *reply) override
     {
-        return serve(context, m_handlers.report, request, reply);
+        return serveUnary(context, m_handlers.report, request, reply);
     }
     grpc::ServerUnaryReactor *SaveSnapshot(grpc::CallbackServerContext *context, const v1::SaveSnapshotRequest *request, v1::SaveSnapshotReply *reply) override
     {
-        return serve(context, m_handlers.saveSnapshot, request, reply);
+        return serveUnary(context, m_handlers.saveSnapshot, request, reply);
     }
     grpc::ServerUnaryReactor *RestoreSnapshot(grpc::CallbackServerContext *context, const v1::RestoreSnapshotRequest *request, v1::CommandReply *reply) override
     {
-        return serve(context, m_handlers.restoreSnapshot, request, reply);
+        return serveUnary(context, m_handlers.restoreSnapshot, request, reply);
     }
 
 private:
--- a/tests/peer/datagramsockettest.cpp
+++ b/tests/peer/datagramsockettest.cpp
@@ -7,7 +7,7 @@
 using namespace cumindyke;
 using namespace cumindyke::test;
 
-TEST_CASE("a datagram arrives whole with its sender's address, and one to nobody is lost without harm")
+TEST_CASE("a datagram arrives whole with its sender's address, and one without a receiver is lost without an error")
 {
     const TestNetwork network;
     constexpr std::uint16_t Port = 7601;
@@ -32,7 +32,7 @@
     CHECK(bytes == large);
 }
 
-TEST_CASE("an address that is taken is refused with the remedy")
+TEST_CASE("binding an address that is in use is refused with the remedy")
 {
     const TestNetwork network;
     EventLoop loop;
--- a/tests/peer/peerdatagramstest.cpp
+++ b/tests/peer/peerdatagramstest.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::uint16_t Port = 7603;
 
-v1::Envelope beatNumber(std::uint64_t number)
+v1::Envelope heartbeat(std::uint64_t number)
 {
     v1::Envelope envelope;
     envelope.mutable_config_heartbeat()->set_beat(number);
@@ -21,7 +21,7 @@
 
 }
 
-TEST_CASE("an envelope goes to another VM in a datagram, with its sender's name")
+TEST_CASE("an envelope sent in a datagram arrives with its sender's name")
 {
     const TestNetwork network;
     EventLoop loop;
@@ -36,7 +36,7 @@
         beat = message.envelope.config_heartbeat().beat();
         loop.stop();
     });
-    CHECK(valueOf(one)->send(VmName{network.host(2)}, beatNumber(7)));
+    CHECK(valueOf(one)->send(VmName{network.host(2)}, heartbeat(7)));
     loop.run();
     CHECK(from == VmName{network.host(1)});
     CHECK(beat == 7);
@@ -46,8 +46,8 @@
     CHECK_FALSE(valueOf(two)->heardFrom(from));
 }
 
-// Guards against an envelope that is lost without a word: the caller sends these by a call.
-TEST_CASE("an envelope that is too large for a datagram, or is for a VM without an address, is left to the caller")
+// Guards against an envelope that is silently lost: the caller sends these by a call instead.
+TEST_CASE("an envelope that is too large for a datagram or has a receiver without an address is not sent")
 {
     const TestNetwork network;
     EventLoop loop;
@@ -56,11 +56,11 @@
     v1::Envelope large;
     large.mutable_config_update()->add_relay(std::string(20'000, 'x'));
     CHECK_FALSE(valueOf(one)->send(VmName{network.host(2)}, large));
-    CHECK_FALSE(valueOf(one)->send(VmName{"lagos-1"}, beatNumber(1)));
+    CHECK_FALSE(valueOf(one)->send(VmName{"lagos-1"}, heartbeat(1)));
 }
 
-// Guards against a beat that is taken for another VM's: a lease would be granted to a VM that did not ask.
-TEST_CASE("a datagram that names another sender than the one it came from is dropped")
+// Guards against a heartbeat attributed to another VM: a lease would be granted to a VM that did not request it.
+TEST_CASE("a datagram whose named sender differs from its source address is dropped")
 {
     const TestNetwork network;
     EventLoop loop;
@@ -76,11 +76,11 @@
     v1::PeerBatch batch;
     batch.set_to(network.host(1));
     batch.set_from(network.host(3));
-    *batch.add_envelopes() = beatNumber(1);
+    *batch.add_envelopes() = heartbeat(1);
     valueOf(sender)->send(Address{.host = network.host(1), .port = Port}, batch.SerializeAsString());
     valueOf(sender)->send(Address{.host = network.host(1), .port = Port}, "no message");
     batch.set_from(network.host(2));
-    *batch.mutable_envelopes(0) = beatNumber(2);
+    *batch.mutable_envelopes(0) = heartbeat(2);
     valueOf(sender)->send(Address{.host = network.host(1), .port = Port}, batch.SerializeAsString());
     loop.run();
     CHECK(beats == std::vector<std::uint64_t>{2});
--- a/tests/peer/peertransporttest.cpp
+++ b/tests/peer/peertransporttest.cpp
@@ -11,9 +11,9 @@
 using namespace cumindyke;
 using namespace cumindyke::test;
 
-// Guards against VMs without a configuration for seconds after a common restart: a VM that passed it on found some that did not listen yet, and what
-// was sent to them was lost.
-TEST_CASE("a configuration for a VM that does not listen yet is delivered once it does")
+// Guards against VMs that have no configuration for seconds after a common restart: a VM relayed the configuration to VMs that did not
+// listen yet, and the messages to them were lost.
+TEST_CASE("a configuration for a VM that does not listen yet is delivered once it listens")
 {
     const TestNetwork network;
     constexpr std::uint16_t Port = 7604;
@@ -23,7 +23,7 @@
     v1::Envelope update;
     update.mutable_config_update()->set_version(7);
     transport.send(peer, update);
-    // Longer than the first attempt takes to be refused, and shorter than the call may take.
+    // Longer than the first attempt takes to be refused, and shorter than the timeout of the call.
     std::this_thread::sleep_for(std::chrono::milliseconds(150));
     std::atomic<std::uint64_t> version = 0;
     const auto receive = [&version](const VmName &, v1::Envelope &&envelope) { version = envelope.config_update().version(); };
