--- a/src/control/controltask.cpp
+++ b/src/control/controltask.cpp
@@ -143,7 +143,7 @@
 void ControlTask::sendSignal(const VmName &to, v1::Envelope envelope)
 {
     const bool byDatagram
-        = m_datagrams && to != m_options.vm && (envelope.has_config_heartbeat() || (envelope.has_config_lease() && m_datagrams->heardFrom(to)));
+        = m_datagrams && to != m_options.vm && (envelope.has_config_heartbeat() || (envelope.has_config_lease() && m_datagrams->hasReceivedFrom(to)));
     if (!byDatagram || !m_datagrams->send(to, envelope)) {
         m_options.send(to, std::move(envelope));
     }
--- a/src/peer/peerdatagrams.h
+++ b/src/peer/peerdatagrams.h
@@ -25,7 +25,7 @@
     /// Sends an envelope; returns false when the envelope is too large for a datagram or the peer's name is no IPv4 address.
     bool send(const VmName &to, const v1::Envelope &envelope);
     /// Returns whether a datagram was received from the VM since it was last removed by removeSender().
-    bool heardFrom(const VmName &vm) const
+    bool hasReceivedFrom(const VmName &vm) const
     {
         return m_senders.contains(vm);
     }
--- a/tests/peer/peerdatagramstest.cpp
+++ b/tests/peer/peerdatagramstest.cpp
@@ -40,10 +40,10 @@
     loop.run();
     CHECK(from == VmName{network.host(1)});
     CHECK(beat == 7);
-    CHECK(valueOf(two)->heardFrom(from));
-    CHECK_FALSE(valueOf(one)->heardFrom(VmName{network.host(2)}));
+    CHECK(valueOf(two)->hasReceivedFrom(from));
+    CHECK_FALSE(valueOf(one)->hasReceivedFrom(VmName{network.host(2)}));
     valueOf(two)->forget(from);
-    CHECK_FALSE(valueOf(two)->heardFrom(from));
+    CHECK_FALSE(valueOf(two)->hasReceivedFrom(from));
 }
 
 // Guards against an envelope that is silently lost: the caller sends these by a call instead.
