--- a/src/control/controltask.cpp
+++ b/src/control/controltask.cpp
@@ -283,7 +283,7 @@
 void ControlTask::handle(PeerMessage &message)
 {
     if (m_datagrams && message.envelope.has_config_heartbeat()) {
-        m_datagrams->forget(message.from);
+        m_datagrams->removeSender(message.from);
     }
     take(message);
 }
--- a/src/peer/peerdatagrams.h
+++ b/src/peer/peerdatagrams.h
@@ -29,7 +29,7 @@
     {
         return m_senders.contains(vm);
     }
-    void forget(const VmName &vm)
+    void removeSender(const VmName &vm)
     {
         m_senders.erase(vm);
     }
--- a/tests/peer/peerdatagramstest.cpp
+++ b/tests/peer/peerdatagramstest.cpp
@@ -42,7 +42,7 @@
     CHECK(beat == 7);
     CHECK(valueOf(two)->hasReceivedFrom(from));
     CHECK_FALSE(valueOf(one)->hasReceivedFrom(VmName{network.host(2)}));
-    valueOf(two)->forget(from);
+    valueOf(two)->removeSender(from);
     CHECK_FALSE(valueOf(two)->hasReceivedFrom(from));
 }
 
