--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -110,7 +110,7 @@
     , m_transport(settings.vm, settings.tls, &m_metrics)
 {
     m_transport.setPeers(settings.peers);
-    m_transport.reachByAddress(settings.peerPort);
+    m_transport.setDefaultPort(settings.peerPort);
     m_router.control = [this](PeerMessage message) { m_control->post(std::move(message)); };
     m_router.cell = [this](PeerMessage message) {
         if (m_cells) {
--- a/src/peer/peertransport.cpp
+++ b/src/peer/peertransport.cpp
@@ -257,7 +257,7 @@
     d->links.swap(links);
 }
 
-void PeerTransport::reachByAddress(std::uint16_t port)
+void PeerTransport::setDefaultPort(std::uint16_t port)
 {
     const std::lock_guard lock(d->mutex);
     d->defaultPort = port;
--- a/src/peer/peertransport.h
+++ b/src/peer/peertransport.h
@@ -30,7 +30,7 @@
     void setPeers(const std::map<VmName, Address> &peers);
     /// Enables sending to unknown peers whose names are IPv4 addresses, at this port: where VMs are added and removed without notice, a
     /// VM's name is its address. Safe from any thread.
-    void reachByAddress(std::uint16_t port);
+    void setDefaultPort(std::uint16_t port);
     /// Sends an envelope; an envelope to an unknown peer is dropped, but see setDefaultPort(). Safe from any thread.
     void send(const VmName &to, v1::Envelope envelope);
 
--- a/tests/peer/peertransporttest.cpp
+++ b/tests/peer/peertransporttest.cpp
@@ -19,7 +19,7 @@
     constexpr std::uint16_t Port = 7604;
     const VmName peer{network.host(2)};
     PeerTransport transport(VmName{network.host(1)});
-    transport.reachByAddress(Port);
+    transport.setDefaultPort(Port);
     v1::Envelope update;
     update.mutable_config_update()->set_version(7);
     transport.send(peer, update);
