--- a/src/peer/outgoingqueue.cpp
+++ b/src/peer/outgoingqueue.cpp
@@ -110,7 +110,7 @@
     return batch;
 }
 
-void OutgoingQueue::ended(Lane lane)
+void OutgoingQueue::endCall(Lane lane)
 {
     Queue &queue = m_queues[static_cast<std::size_t>(lane)];
     queue.isCallInFlight = false;
--- a/src/peer/outgoingqueue.h
+++ b/src/peer/outgoingqueue.h
@@ -71,7 +71,7 @@
     /// Returns the next batch of a lane that has queued messages and no call in flight; empty if there is none.
     std::optional<OutgoingBatch> next();
     /// Records that the call of a lane has ended.
-    void ended(Lane lane);
+    void endCall(Lane lane);
 
     std::size_t queuedCount() const;
 
--- a/src/peer/peertransport.cpp
+++ b/src/peer/peertransport.cpp
@@ -192,7 +192,7 @@
     void onCallEnded(Lane lane, const grpc::Status &status, const v1::PeerBatch &batch)
     {
         const std::lock_guard lock(m_mutex);
-        m_queue.ended(lane);
+        m_queue.endCall(lane);
         updateHeldBytes();
         if (!status.ok()) {
             m_shared->losses.recordLoss(m_peer, reasonOf(status), batch.ByteSizeLong(), m_queue.queuedCount());
--- a/tests/control/distributionrig.cpp
+++ b/tests/control/distributionrig.cpp
@@ -188,7 +188,7 @@
         });
     }
     at(end, [this, from, to, lane = batch.lane] {
-        vm(from).queues.at(to).ended(lane);
+        vm(from).queues.at(to).endCall(lane);
         startCalls(from, to);
     });
 }
--- a/tests/peer/outgoingqueuetest.cpp
+++ b/tests/peer/outgoingqueuetest.cpp
@@ -60,7 +60,7 @@
     REQUIRE(first);
     CHECK(first->envelopes.front().raft().round() == 1);
     CHECK_FALSE(queue.next());
-    queue.ended(Lane::Log);
+    queue.endCall(Lane::Log);
     CHECK(queue.next()->envelopes.front().raft().round() == 2);
 }
 
