--- a/src/control/distribution.cpp
+++ b/src/control/distribution.cpp
@@ -42,7 +42,7 @@
 
 void Distribution::published(std::uint64_t version, TimePoint now, std::size_t updateBytes)
 {
-    m_published.push_back(Published{.version = version, .at = now, .spreadBy = now + m_options.repairAfter + transferTime(updateBytes)});
+    m_published.push_back(Published{.version = version, .at = now, .spreadBy = now + m_options.repairAfter + transferTimeout(updateBytes)});
     forgetOldVersions(now);
 }
 
@@ -125,7 +125,7 @@
     Vm &vm = m_vms[name];
     const int doublings = std::min(vm.repairsWithoutEffect, MostDoublings);
     vm.repairedTo = m_published.back().version;
-    vm.repairAgainAt = now + (RepairInterval + transferTime(updateBytes)) * (1 << doublings);
+    vm.repairAgainAt = now + (RepairInterval + transferTimeout(updateBytes)) * (1 << doublings);
     vm.repairsWithoutEffect += 1;
 }
 
--- a/src/control/forwarder.cpp
+++ b/src/control/forwarder.cpp
@@ -36,7 +36,7 @@
         }
         search.gaveNoAnswer(call.asked);
         call.asked = search.leader();
-        call.nextTry = now + m_options.resendAfter + transferTime(call.request.command().size());
+        call.nextTry = now + m_options.resendAfter + transferTimeout(call.request.command().size());
         Outgoing &sent = outgoing.emplace_back(Outgoing{.to = call.asked, .envelope = {}});
         *sent.envelope.mutable_propose() = call.request;
     }
--- a/src/peer/transfertime.h
+++ b/src/peer/transfertime.h
@@ -9,7 +9,7 @@
 constexpr std::size_t SlowestBytesPerSecond = 128 << 10;
 
 /// Returns how long the transfer of bytes to another VM may take before it is assumed to have failed.
-constexpr Duration transferTime(std::size_t bytes)
+constexpr Duration transferTimeout(std::size_t bytes)
 {
     return std::chrono::milliseconds(bytes * std::milli::den / SlowestBytesPerSecond);
 }
