--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -263,7 +263,7 @@
             return ExitUsage;
         }
         if (const std::optional<TlsFiles> tls = context.tls()) {
-            const Result<Done> checked = checkFiles(*tls);
+            const Result<Done> checked = checkTlsFiles(*tls);
             if (!ok(checked)) {
                 return printError(errorOf(checked));
             }
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -40,7 +40,7 @@
             .key = tls.requiredText("key"),
             .ca = tls.requiredText("ca"),
         };
-        const Result<Done> checked = checkFiles(*settings.tls);
+        const Result<Done> checked = checkTlsFiles(*settings.tls);
         if (!ok(checked)) {
             root.reject("tls", errorOf(checked).message);
         }
--- a/src/peer/credentials.cpp
+++ b/src/peer/credentials.cpp
@@ -23,7 +23,7 @@
 
 }
 
-Result<Done> checkFiles(const TlsFiles &files)
+Result<Done> checkTlsFiles(const TlsFiles &files)
 {
     for (const std::string &file : {files.certificate, files.key, files.ca}) {
         const Result<std::string> content = readFile(file);
--- a/src/peer/credentials.h
+++ b/src/peer/credentials.h
@@ -29,7 +29,7 @@
 
 /// Checks that the files can be read and are PEM. Error: Invalid. gRPC itself would only fail each connection later, without naming the
 /// file.
-Result<Done> checkFiles(const TlsFiles &files);
+Result<Done> checkTlsFiles(const TlsFiles &files);
 
 /// Returns the credentials for outgoing calls; plaintext without files. The certificate of the other end must be signed by the CA and name
 /// the called IP address.
