--- a/src/control/operatorhandlers.cpp
+++ b/src/control/operatorhandlers.cpp
@@ -9,7 +9,7 @@
 {
 
 /// Proposes a command and answers the call with its CommandReply.
-void propose(ControlTask &control, v1::Command command, const Answer<v1::CommandReply> &answer)
+void propose(ControlTask &control, v1::Command command, const ReplyCallback<v1::CommandReply> &answer)
 {
     control.post(Proposal{
         .command = std::move(command),
@@ -26,7 +26,7 @@
 
 /// Asks the leader and answers the call with the part of its answer that the call is about.
 template<typename Reply>
-void ask(ControlTask &control, const v1::LeaderQuestion &question, const Answer<Reply> &answer, const Reply &(v1::LeaderAnswer::*part)() const)
+void ask(ControlTask &control, const v1::LeaderQuestion &question, const ReplyCallback<Reply> &answer, const Reply &(v1::LeaderAnswer::*part)() const)
 {
     control.post(Question{
         .question = question,
@@ -43,27 +43,27 @@
 
 void addQuestions(OperatorHandlers &handlers, ControlTask &control)
 {
-    handlers.history = [&control](const v1::HistoryRequest &request, const Answer<v1::HistoryReply> &answer) {
+    handlers.history = [&control](const v1::HistoryRequest &request, const ReplyCallback<v1::HistoryReply> &answer) {
         v1::LeaderQuestion question;
         *question.mutable_history() = request;
         ask(control, question, answer, &v1::LeaderAnswer::history);
     };
-    handlers.members = [&control](const v1::MembersRequest & /*request*/, const Answer<v1::MembersReply> &answer) {
+    handlers.members = [&control](const v1::MembersRequest & /*request*/, const ReplyCallback<v1::MembersReply> &answer) {
         v1::LeaderQuestion question;
         question.mutable_members();
         ask(control, question, answer, &v1::LeaderAnswer::members);
     };
-    handlers.changeMembers = [&control](const v1::ChangeMembersRequest &request, const Answer<v1::CommandReply> &answer) {
+    handlers.changeMembers = [&control](const v1::ChangeMembersRequest &request, const ReplyCallback<v1::CommandReply> &answer) {
         v1::LeaderQuestion question;
         *question.mutable_change_members() = request;
         ask(control, question, answer, &v1::LeaderAnswer::change_members);
     };
-    handlers.report = [&control](const v1::ReportRequest &request, const Answer<v1::ReportReply> &answer) {
+    handlers.report = [&control](const v1::ReportRequest &request, const ReplyCallback<v1::ReportReply> &answer) {
         v1::LeaderQuestion question;
         *question.mutable_report() = request;
         ask(control, question, answer, &v1::LeaderAnswer::report);
     };
-    handlers.saveSnapshot = [&control](const v1::SaveSnapshotRequest & /*request*/, const Answer<v1::SaveSnapshotReply> &answer) {
+    handlers.saveSnapshot = [&control](const v1::SaveSnapshotRequest & /*request*/, const ReplyCallback<v1::SaveSnapshotReply> &answer) {
         v1::LeaderQuestion question;
         question.mutable_save_snapshot();
         ask(control, question, answer, &v1::LeaderAnswer::save_snapshot);
@@ -75,28 +75,28 @@
 OperatorHandlers operatorHandlers(ControlTask &control)
 {
     OperatorHandlers handlers;
-    handlers.apply = [&control](const v1::ApplyRequest &request, const Answer<v1::CommandReply> &answer) {
+    handlers.apply = [&control](const v1::ApplyRequest &request, const ReplyCallback<v1::CommandReply> &answer) {
         v1::Command command;
         command.set_command_id(request.command_id());
         *command.mutable_apply() = request;
         propose(control, std::move(command), answer);
     };
-    handlers.startMove = [&control](const v1::StartMoveRequest &request, const Answer<v1::CommandReply> &answer) {
+    handlers.startMove = [&control](const v1::StartMoveRequest &request, const ReplyCallback<v1::CommandReply> &answer) {
         v1::Command command;
         command.set_command_id(request.command_id());
         *command.mutable_start_move() = request;
         propose(control, std::move(command), answer);
     };
-    handlers.abortMove = [&control](const v1::AbortMoveRequest &request, const Answer<v1::CommandReply> &answer) {
+    handlers.abortMove = [&control](const v1::AbortMoveRequest &request, const ReplyCallback<v1::CommandReply> &answer) {
         v1::Command command;
         command.set_command_id(request.command_id());
         *command.mutable_abort_move() = request;
         propose(control, std::move(command), answer);
     };
-    handlers.get = [&control](const v1::GetRequest & /*request*/, const Answer<v1::Declarations> &answer) {
+    handlers.get = [&control](const v1::GetRequest & /*request*/, const ReplyCallback<v1::Declarations> &answer) {
         control.post(FollowerQuery{[answer](const Follower &follower) { answer(toWire(*follower.declarations())); }});
     };
-    handlers.moves = [&control](const v1::MovesRequest & /*request*/, const Answer<v1::MovesReply> &answer) {
+    handlers.moves = [&control](const v1::MovesRequest & /*request*/, const ReplyCallback<v1::MovesReply> &answer) {
         control.post(FollowerQuery{[answer](const Follower &follower) {
             v1::MovesReply reply;
             reply.mutable_moves()->Assign(follower.moves().begin(), follower.moves().end());
@@ -106,7 +106,7 @@
     handlers.watch = [&control](const v1::WatchRequest &request, const std::shared_ptr<EventSink> &sink) {
         control.post(Watch{.after = Revision{request.after_revision()}, .sink = sink});
     };
-    handlers.restoreSnapshot = [&control](const v1::RestoreSnapshotRequest &request, const Answer<v1::CommandReply> &answer) {
+    handlers.restoreSnapshot = [&control](const v1::RestoreSnapshotRequest &request, const ReplyCallback<v1::CommandReply> &answer) {
         v1::Command command;
         command.set_command_id(request.command_id());
         *command.mutable_restore() = request;
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -202,7 +202,7 @@
 std::optional<Error> Daemon::startRpc(const Settings &settings)
 {
     OperatorHandlers handlers = operatorHandlers(*m_control);
-    handlers.report = [entry = m_entry.get(), burn = handlers.report](const v1::ReportRequest &request, const Answer<v1::ReportReply> &answer) {
+    handlers.report = [entry = m_entry.get(), burn = handlers.report](const v1::ReportRequest &request, const ReplyCallback<v1::ReportReply> &answer) {
         if (request.burn() || !entry) {
             burn(request, answer);
             return;
--- a/src/peer/rpcserver.cpp
+++ b/src/peer/rpcserver.cpp
@@ -40,8 +40,10 @@
 
 /// Passes a unary call to its handler. The reply object is valid until the call is finished.
 template<typename Request, typename Reply>
-grpc::ServerUnaryReactor *
-serveUnary(grpc::CallbackServerContext *context, const std::function<void(const Request &, Answer<Reply>)> &handler, const Request *request, Reply *reply)
+grpc::ServerUnaryReactor *serveUnary(grpc::CallbackServerContext *context,
+                                     const std::function<void(const Request &, ReplyCallback<Reply>)> &handler,
+                                     const Request *request,
+                                     Reply *reply)
 {
     grpc::ServerUnaryReactor *reactor = context->DefaultReactor();
     if (!handler) {
--- a/src/peer/rpcserver.h
+++ b/src/peer/rpcserver.h
@@ -14,7 +14,7 @@
 
 /// Completes an operator's call. Must be called exactly once, from any thread.
 template<typename Reply>
-using Answer = std::function<void(const Result<Reply> &)>;
+using ReplyCallback = std::function<void(const Result<Reply> &)>;
 
 /// The event stream of one operator's watch. Safe from any thread.
 class EventSink
@@ -30,18 +30,18 @@
 /// Handlers of operators' calls. Called from gRPC's threads: an implementation posts to its task and replies from there.
 struct OperatorHandlers
 {
-    std::function<void(const v1::ApplyRequest &, Answer<v1::CommandReply>)> apply;
-    std::function<void(const v1::GetRequest &, Answer<v1::Declarations>)> get;
+    std::function<void(const v1::ApplyRequest &, ReplyCallback<v1::CommandReply>)> apply;
+    std::function<void(const v1::GetRequest &, ReplyCallback<v1::Declarations>)> get;
     std::function<void(const v1::WatchRequest &, std::shared_ptr<EventSink>)> watch;
-    std::function<void(const v1::HistoryRequest &, Answer<v1::HistoryReply>)> history;
-    std::function<void(const v1::StartMoveRequest &, Answer<v1::CommandReply>)> startMove;
-    std::function<void(const v1::AbortMoveRequest &, Answer<v1::CommandReply>)> abortMove;
-    std::function<void(const v1::MovesRequest &, Answer<v1::MovesReply>)> moves;
-    std::function<void(const v1::MembersRequest &, Answer<v1::MembersReply>)> members;
-    std::function<void(const v1::ChangeMembersRequest &, Answer<v1::CommandReply>)> changeMembers;
-    std::function<void(const v1::ReportRequest &, Answer<v1::ReportReply>)> report;
-    std::function<void(const v1::SaveSnapshotRequest &, Answer<v1::SaveSnapshotReply>)> saveSnapshot;
-    std::function<void(const v1::RestoreSnapshotRequest &, Answer<v1::CommandReply>)> restoreSnapshot;
+    std::function<void(const v1::HistoryRequest &, ReplyCallback<v1::HistoryReply>)> history;
+    std::function<void(const v1::StartMoveRequest &, ReplyCallback<v1::CommandReply>)> startMove;
+    std::function<void(const v1::AbortMoveRequest &, ReplyCallback<v1::CommandReply>)> abortMove;
+    std::function<void(const v1::MovesRequest &, ReplyCallback<v1::MovesReply>)> moves;
+    std::function<void(const v1::MembersRequest &, ReplyCallback<v1::MembersReply>)> members;
+    std::function<void(const v1::ChangeMembersRequest &, ReplyCallback<v1::CommandReply>)> changeMembers;
+    std::function<void(const v1::ReportRequest &, ReplyCallback<v1::ReportReply>)> report;
+    std::function<void(const v1::SaveSnapshotRequest &, ReplyCallback<v1::SaveSnapshotReply>)> saveSnapshot;
+    std::function<void(const v1::RestoreSnapshotRequest &, ReplyCallback<v1::CommandReply>)> restoreSnapshot;
 };
 
 /// The gRPC server of one daemon: serves operators' calls and peers' messages on one address.
