--- a/src/control/watchers.cpp
+++ b/src/control/watchers.cpp
@@ -12,7 +12,7 @@
 
 bool Watchers::any()
 {
-    std::erase_if(m_watchers, [](const Watcher &watcher) { return watcher.sink->closed(); });
+    std::erase_if(m_watchers, [](const Watcher &watcher) { return watcher.sink->isClosed(); });
     return !m_watchers.empty();
 }
 
--- a/src/peer/rpcserver.cpp
+++ b/src/peer/rpcserver.cpp
@@ -87,7 +87,7 @@
                 m_reactor->finishOnce(toStatus(why));
             }
         }
-        bool closed() const override
+        bool isClosed() const override
         {
             const std::lock_guard lock(m_mutex);
             return !m_reactor;
--- a/src/peer/rpcserver.h
+++ b/src/peer/rpcserver.h
@@ -24,7 +24,7 @@
     virtual void send(const v1::Event &event) = 0;
     virtual void end(const Error &why) = 0;
     /// Returns true once the operator has disconnected or the stream has ended.
-    virtual bool closed() const = 0;
+    virtual bool isClosed() const = 0;
 };
 
 /// Handlers of operators' calls. Called from gRPC's threads: an implementation posts to its task and replies from there.
