--- a/src/common/address.cpp
+++ b/src/common/address.cpp
@@ -9,7 +9,7 @@
 
 Result<Address> parseAddress(std::string_view text)
 {
-    const Error invalid{ErrorKind::Invalid, "'" + std::string(text) + "' is not an address: write an IP number and a port, for example 10.0.0.4:8080"};
+    const Error invalid{ErrorKind::Invalid, "'" + std::string(text) + "' is not an address: write an IP address and a port, for example 10.0.0.4:8080"};
     const auto colon = text.rfind(':');
     if (colon == std::string_view::npos) {
         return invalid;
--- a/src/common/address.h
+++ b/src/common/address.h
@@ -8,7 +8,7 @@
 namespace cumindyke
 {
 
-/// Parses "A.B.C.D:PORT". Names are not resolved: processes talk by IP numbers. Error: Invalid.
+/// Parses "A.B.C.D:PORT". Host names are not resolved: processes use only IP addresses. Error: Invalid.
 Result<Address> parseAddress(std::string_view text);
 
 }
--- a/src/common/eventloop.cpp
+++ b/src/common/eventloop.cpp
@@ -12,35 +12,35 @@
 
 EventLoop::EventLoop()
 {
-    static std::once_flag threadsReady;
-    std::call_once(threadsReady, [] { evthread_use_pthreads(); });
+    static std::once_flag threadingInitialised;
+    std::call_once(threadingInitialised, [] { evthread_use_pthreads(); });
     m_base = event_base_new();
     if (!m_base) {
-        throw std::runtime_error("no event loop could be made: raise the limit of open files");
+        throw std::runtime_error("the event loop can't be created: raise the limit of open files");
     }
-    m_releaseEvent = event_new(m_base, -1, 0, &EventLoop::release, this);
+    m_releaseEvent = event_new(m_base, -1, 0, &EventLoop::releaseObjects, this);
 }
 
 EventLoop::~EventLoop()
 {
-    // What is released may release more.
-    while (!m_releasing.empty()) {
-        release(-1, 0, this);
+    // Releasing an object may add further objects.
+    while (!m_objectsToRelease.empty()) {
+        releaseObjects(-1, 0, this);
     }
     event_free(m_releaseEvent);
     event_base_free(m_base);
 }
 
-void EventLoop::releaseLater(std::shared_ptr<void> last)
+void EventLoop::releaseLater(std::shared_ptr<void> object)
 {
-    m_releasing.push_back(std::move(last));
+    m_objectsToRelease.push_back(std::move(object));
     event_active(m_releaseEvent, EV_TIMEOUT, 0);
 }
 
-void EventLoop::release(int /*fd*/, short /*what*/, void *self)
+void EventLoop::releaseObjects(int /*fd*/, short /*what*/, void *self)
 {
-    std::vector<std::shared_ptr<void>> releasing;
-    releasing.swap(static_cast<EventLoop *>(self)->m_releasing);
+    std::vector<std::shared_ptr<void>> objects;
+    objects.swap(static_cast<EventLoop *>(self)->m_objectsToRelease);
 }
 
 void EventLoop::run()
@@ -55,9 +55,9 @@
 
 TimePoint EventLoop::now()
 {
-    timespec sinceStart{};
-    clock_gettime(CLOCK_BOOTTIME, &sinceStart);
-    return TimePoint(std::chrono::duration_cast<Duration>(std::chrono::seconds(sinceStart.tv_sec) + std::chrono::nanoseconds(sinceStart.tv_nsec)));
+    timespec sinceBoot{};
+    clock_gettime(CLOCK_BOOTTIME, &sinceBoot);
+    return TimePoint(std::chrono::duration_cast<Duration>(std::chrono::seconds(sinceBoot.tv_sec) + std::chrono::nanoseconds(sinceBoot.tv_nsec)));
 }
 
 WallTime EventLoop::wallNow()
@@ -68,7 +68,7 @@
 
 Timer::Timer(EventLoop &loop, std::function<void()> callback)
     : m_callback(std::move(callback))
-    , m_event(event_new(loop.base(), -1, 0, &Timer::fired, this))
+    , m_event(event_new(loop.base(), -1, 0, &Timer::onTimeout, this))
 {
 }
 
@@ -102,7 +102,7 @@
     event_del(m_event);
 }
 
-void Timer::fired(int /*fd*/, short /*what*/, void *self)
+void Timer::onTimeout(int /*fd*/, short /*what*/, void *self)
 {
     auto *timer = static_cast<Timer *>(self);
     if (timer->m_interval > Duration::zero()) {
@@ -114,8 +114,8 @@
 void Timer::schedule(Duration delay)
 {
     const auto microseconds = std::max<Duration::rep>(delay.count(), 0);
-    const timeval wait{.tv_sec = microseconds / 1'000'000, .tv_usec = microseconds % 1'000'000};
-    event_add(m_event, &wait);
+    const timeval timeout{.tv_sec = microseconds / 1'000'000, .tv_usec = microseconds % 1'000'000};
+    event_add(m_event, &timeout);
 }
 
 }
--- a/src/common/eventloop.h
+++ b/src/common/eventloop.h
@@ -12,7 +12,7 @@
 namespace cumindyke
 {
 
-/// One libevent loop, run by one thread: the thread of the task that owns it.
+/// A libevent loop, run by a single thread: the thread of the task that owns it.
 class EventLoop
 {
 public:
@@ -21,32 +21,32 @@
     EventLoop(const EventLoop &) = delete;
     EventLoop &operator=(const EventLoop &) = delete;
 
-    /// Runs until stop(). Call from the owning thread.
+    /// Runs until stop() is called. Call from the owning thread.
     void run();
-    /// Ends run() after the callback in progress. Safe from any thread.
+    /// Makes run() return after the callback in progress. Safe from any thread.
     void stop();
-    /// Lets go of the object from the loop, after the callback in progress, or when the loop is destroyed. For what libevent still uses until
-    /// its callback has returned. Call from the owning thread.
-    void releaseLater(std::shared_ptr<void> last);
+    /// Releases the object from the loop after the callback in progress, or when the loop is destroyed. For objects that libevent uses
+    /// until its callback has returned. Call from the owning thread.
+    void releaseLater(std::shared_ptr<void> object);
     event_base *base() const
     {
         return m_base;
     }
-    /// A monotonic clock that also counts the time for which the VM was suspended, read where a task receives an event; decisions get it
-    /// as an argument. By a clock that stands still meanwhile, a VM that wakes would take an ended lease for a good one.
+    /// Returns the time of a monotonic clock that also counts while the VM is suspended. Read where a task receives an event; decisions get
+    /// the time as an argument. With a clock that stops during suspension, a resumed VM would take an expired lease for a valid one.
     static TimePoint now();
-    /// The wall clock, for what people declare and read.
+    /// Returns the wall-clock time, for times that people declare and read.
     static WallTime wallNow();
 
 private:
-    static void release(int fd, short what, void *self);
+    static void releaseObjects(int fd, short what, void *self);
 
     event_base *m_base;
     event *m_releaseEvent;
-    std::vector<std::shared_ptr<void>> m_releasing;
+    std::vector<std::shared_ptr<void>> m_objectsToRelease;
 };
 
-/// A timer on a loop. Not safe from other threads. Destroying it cancels it.
+/// A timer on an event loop. Not thread-safe. Destroying it cancels it.
 class Timer
 {
 public:
@@ -57,12 +57,12 @@
 
     void startOnce(Duration delay);
     void startEvery(Duration interval);
-    /// Leaves one that runs as it is.
+    /// Does nothing if the timer is already running.
     void startOnceIfStopped(Duration delay);
     void stop();
 
 private:
-    static void fired(int fd, short what, void *self);
+    static void onTimeout(int fd, short what, void *self);
     void schedule(Duration delay);
 
     std::function<void()> m_callback;
--- a/src/common/hash.h
+++ b/src/common/hash.h
@@ -8,13 +8,13 @@
 namespace cumindyke
 {
 
-/// 64-bit xxHash: for checksums against accidents and for spreading, never against an adversary.
+/// Returns the 64-bit xxHash of the bytes: for checksums against accidental damage and for spreading load, never against an adversary.
 std::uint64_t checksum(std::string_view bytes);
 
-/// SHA-256 of an API key as the declarations hold it: 64 lower-case hexadecimal digits.
+/// Returns the SHA-256 of an API key in the format of the declarations: 64 lower-case hexadecimal digits.
 KeyHash hashKey(std::string_view key);
 
-/// SHA-256 in hexadecimal, for fingerprints of payloads.
+/// Returns the SHA-256 of the bytes in hexadecimal, as the fingerprint of a payload.
 std::string fingerprint(std::string_view bytes);
 
 }
--- a/src/common/log.cpp
+++ b/src/common/log.cpp
@@ -13,11 +13,11 @@
 namespace
 {
 
-/// Some seconds of a busy entry VM, about a megabyte.
-constexpr int MostLinesWaiting = 4096;
+/// The lines of some seconds on a busy entry VM, about a megabyte.
+constexpr int MaxQueuedLines = 4096;
 
-/// Quotes a value that holds a space, a quote or an equals sign, so that lines split into fields unambiguously.
-std::string quoted(const std::string &value)
+/// Quotes a value that contains a space, a quote or an equals sign, so that lines split into fields unambiguously.
+std::string quoteIfNeeded(const std::string &value)
 {
     if (!value.empty() && value.find_first_of(" \"=\n\t") == std::string::npos) {
         return value;
@@ -36,11 +36,11 @@
     return result + "\"";
 }
 
-std::string line(std::string_view change, std::initializer_list<LogField> fields)
+std::string formatLine(std::string_view change, std::initializer_list<LogField> fields)
 {
     std::string text = "change=" + std::string(change);
     for (const LogField &field : fields) {
-        text += " " + std::string(field.name) + "=" + quoted(field.value);
+        text += " " + std::string(field.name) + "=" + quoteIfNeeded(field.value);
     }
     return text;
 }
@@ -51,10 +51,10 @@
 {
     const auto layout = std::make_shared<log4cxx::PatternLayout>(LOG4CXX_STR("time=%d{yyyy-MM-ddTHH:mm:ss.SSSZ} level=%p component=%c %m%n"));
     const auto console = std::make_shared<log4cxx::ConsoleAppender>(layout, log4cxx::ConsoleAppender::getSystemOut());
-    // A reader of standard output that stands still would stop every task that logs. Lines wait for a thread of their own instead; when too
-    // many wait, new ones are dropped, and a line says how many.
+    // A blocked reader of standard output would block every task that logs. Lines are therefore queued for a separate thread. When the
+    // queue is full, new lines are dropped, and a line reports how many.
     const auto queue = std::make_shared<log4cxx::AsyncAppender>();
-    queue->setBufferSize(MostLinesWaiting);
+    queue->setBufferSize(MaxQueuedLines);
     queue->setBlocking(false);
     queue->addAppender(console);
     log4cxx::BasicConfigurator::resetConfiguration();
@@ -69,12 +69,12 @@
 
 void logChange(std::string_view component, std::string_view change, std::initializer_list<LogField> fields)
 {
-    LOG4CXX_INFO(log4cxx::Logger::getLogger(std::string(component)), line(change, fields));
+    LOG4CXX_INFO(log4cxx::Logger::getLogger(std::string(component)), formatLine(change, fields));
 }
 
 void logWarning(std::string_view component, std::string_view change, std::initializer_list<LogField> fields)
 {
-    LOG4CXX_WARN(log4cxx::Logger::getLogger(std::string(component)), line(change, fields));
+    LOG4CXX_WARN(log4cxx::Logger::getLogger(std::string(component)), formatLine(change, fields));
 }
 
 }
--- a/src/common/log.h
+++ b/src/common/log.h
@@ -13,16 +13,16 @@
     std::string value;
 };
 
-/// Sends log lines to standard output, as "time=… level=… component=… change=… key=value …", without ever waiting for its reader. Call
-/// once, before any task starts.
+/// Starts logging to standard output, as "time=… level=… component=… change=… key=value …". Logging never blocks on the reader of standard
+/// output. Call once, before any task starts.
 void startLog();
-/// Writes what still waits. Call before the process ends.
+/// Writes the queued log lines. Call before the process ends.
 void stopLog();
 
-/// One line for one change of state. What happens all the time is counted (metrics.h), not logged.
+/// Logs a change of state in one line. Frequent events are counted (metrics.h), not logged.
 void logChange(std::string_view component, std::string_view change, std::initializer_list<LogField> fields = {});
 
-/// The same at level WARN, for a change that an operator should look at.
+/// Logs a change of state that an operator should look at, at level WARN.
 void logWarning(std::string_view component, std::string_view change, std::initializer_list<LogField> fields = {});
 
 }
--- a/src/common/mailbox.h
+++ b/src/common/mailbox.h
@@ -12,15 +12,15 @@
 namespace cumindyke
 {
 
-/// Messages from any thread to the task that owns the loop: the only way into a task.
-/// The handler runs in the loop's thread, one message at a time, in the order of post().
+/// Queue of messages from any thread to the task that owns the loop: the only way to pass data into a task. The handler runs in the loop's
+/// thread, one message at a time, in the order of post().
 template<typename Message>
 class Mailbox
 {
 public:
     Mailbox(EventLoop &loop, std::function<void(Message &&)> handler)
         : m_handler(std::move(handler))
-        , m_event(event_new(loop.base(), -1, EV_PERSIST, &Mailbox::fired, this))
+        , m_event(event_new(loop.base(), -1, EV_PERSIST, &Mailbox::onActivated, this))
     {
     }
     ~Mailbox()
@@ -30,14 +30,14 @@
     Mailbox(const Mailbox &) = delete;
     Mailbox &operator=(const Mailbox &) = delete;
 
-    /// Safe from any thread while the mailbox lives.
+    /// Enqueues a message. Safe from any thread during the lifetime of the mailbox.
     void post(Message message)
     {
         bool wasEmpty = false;
         {
             const std::lock_guard lock(m_mutex);
-            wasEmpty = m_waiting.empty();
-            m_waiting.push_back(std::move(message));
+            wasEmpty = m_queue.empty();
+            m_queue.push_back(std::move(message));
         }
         if (wasEmpty) {
             event_active(m_event, EV_WRITE, 0);
@@ -45,17 +45,17 @@
     }
 
 private:
-    static void fired(int /*fd*/, short /*what*/, void *self)
+    static void onActivated(int /*fd*/, short /*what*/, void *self)
     {
-        static_cast<Mailbox *>(self)->drain();
+        static_cast<Mailbox *>(self)->handleAll();
     }
 
-    void drain()
+    void handleAll()
     {
         std::vector<Message> batch;
         {
             const std::lock_guard lock(m_mutex);
-            batch.swap(m_waiting);
+            batch.swap(m_queue);
         }
         for (Message &message : batch) {
             m_handler(std::move(message));
@@ -65,7 +65,7 @@
     std::function<void(Message &&)> m_handler;
     event *m_event;
     std::mutex m_mutex;
-    std::vector<Message> m_waiting;
+    std::vector<Message> m_queue;
 };
 
 }
--- a/src/common/metrics.cpp
+++ b/src/common/metrics.cpp
@@ -12,9 +12,9 @@
 namespace
 {
 
-/// Bounds in seconds, from a local call's half millisecond to a long summary's minutes.
+/// Upper bounds of the buckets in seconds, from half a millisecond for a local call to some minutes for a long summary.
 const prometheus::Histogram::BucketBoundaries
-    LatencyBounds{0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.76, 1.5, 3, 6, 12, 30, 60, 120, 300};
+    LatencyBucketBounds{0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.76, 1.5, 3, 6, 12, 30, 60, 120, 300};
 
 }
 
@@ -62,7 +62,7 @@
 
 Histogram Metrics::histogram(const std::string &name, const std::string &help, const MetricLabels &labels)
 {
-    return Histogram(&prometheus::BuildHistogram().Name(name).Help(help).Register(d->registry).Add(labels, LatencyBounds));
+    return Histogram(&prometheus::BuildHistogram().Name(name).Help(help).Register(d->registry).Add(labels, LatencyBucketBounds));
 }
 
 std::string Metrics::text() const
--- a/src/common/metrics.h
+++ b/src/common/metrics.h
@@ -16,7 +16,7 @@
 
 using MetricLabels = std::map<std::string, std::string>;
 
-/// A count that only grows. Copies share the count. Safe from any thread.
+/// A monotonically increasing counter. Copies share the value. Safe from any thread.
 class Counter
 {
 public:
@@ -31,7 +31,7 @@
     prometheus::Counter *m_counter;
 };
 
-/// A value that goes up and down. Copies share it. Safe from any thread.
+/// A value that can go up and down. Copies share the value. Safe from any thread.
 class Gauge
 {
 public:
@@ -45,7 +45,7 @@
     prometheus::Gauge *m_gauge;
 };
 
-/// Counts of observed seconds by bucket. Copies share it. Safe from any thread.
+/// A histogram of observed durations in seconds. Copies share the counts. Safe from any thread.
 class Histogram
 {
 public:
@@ -59,7 +59,7 @@
     prometheus::Histogram *m_histogram;
 };
 
-/// All metrics of one process. Names end in their unit (_total, _seconds, _bytes), as Prometheus asks.
+/// All metrics of one process. Names end in their unit (_total, _seconds, _bytes), as Prometheus recommends.
 class Metrics
 {
 public:
@@ -68,11 +68,11 @@
     Metrics(const Metrics &) = delete;
     Metrics &operator=(const Metrics &) = delete;
 
-    /// The metric of this name and labels, made at its first use. Keep the handle on hot paths.
+    /// Returns the metric with this name and these labels, created on first use. Keep the handle on hot paths.
     Counter counter(const std::string &name, const std::string &help, const MetricLabels &labels = {});
     Gauge gauge(const std::string &name, const std::string &help, const MetricLabels &labels = {});
     Histogram histogram(const std::string &name, const std::string &help, const MetricLabels &labels = {});
-    /// The text that Prometheus scrapes.
+    /// Returns all metrics in the text format that Prometheus scrapes.
     std::string text() const;
 
 private:
--- a/src/common/packing.cpp
+++ b/src/common/packing.cpp
@@ -28,9 +28,9 @@
     return size;
 }
 
-Error notPacked()
+Error unpackError()
 {
-    return Error{ErrorKind::Invalid, "the packed bytes can't be read: send them again, from a VM of the same version"};
+    return Error{ErrorKind::Invalid, "the packed bytes can't be unpacked: resend them from a VM of the same version"};
 }
 
 }
@@ -40,7 +40,7 @@
     std::string packed = encodeSize(bytes.size());
     uLongf size = compressBound(bytes.size());
     packed.resize(SizeBytes + size);
-    // With a buffer of this bound it fails only for want of memory, which ends the process anyway.
+    // With a buffer of this size, compress2() fails only when out of memory, which ends the process anyway.
     compress2(reinterpret_cast<Bytef *>(packed.data() + SizeBytes), &size, reinterpret_cast<const Bytef *>(bytes.data()), bytes.size(), Z_BEST_SPEED);
     packed.resize(SizeBytes + size);
     return packed;
@@ -49,14 +49,14 @@
 Result<std::string> unpack(std::string_view packed, std::size_t limit)
 {
     if (packed.size() < SizeBytes || decodeSize(packed) > limit) {
-        return notPacked();
+        return unpackError();
     }
     std::string bytes(decodeSize(packed), '\0');
     uLongf size = bytes.size();
     const std::string_view stream = packed.substr(SizeBytes);
-    const int outcome = uncompress(reinterpret_cast<Bytef *>(bytes.data()), &size, reinterpret_cast<const Bytef *>(stream.data()), stream.size());
-    if (outcome != Z_OK || size != bytes.size()) {
-        return notPacked();
+    const int status = uncompress(reinterpret_cast<Bytef *>(bytes.data()), &size, reinterpret_cast<const Bytef *>(stream.data()), stream.size());
+    if (status != Z_OK || size != bytes.size()) {
+        return unpackError();
     }
     return bytes;
 }
--- a/src/common/packing.h
+++ b/src/common/packing.h
@@ -9,10 +9,10 @@
 namespace cumindyke
 {
 
-/// Bytes made smaller for the log and for the way between VMs: their number (four bytes, little-endian), then a zlib stream.
+/// Compresses bytes for the log and for messages between VMs: the original size (four bytes, little-endian), then a zlib stream.
 std::string pack(std::string_view bytes);
 
-/// What pack() was given. Error: Invalid, for bytes that pack() did not make, or that would be larger than the limit.
+/// Decompresses bytes from pack(). Error: Invalid, for bytes that pack() did not produce, or whose original size exceeds the limit.
 Result<std::string> unpack(std::string_view packed, std::size_t limit = std::size_t{64} << 20);
 
 }
--- a/src/common/result.h
+++ b/src/common/result.h
@@ -7,28 +7,28 @@
 namespace cumindyke
 {
 
-/// What went wrong, as callers and operators see it. Each kind has a page in docs/OPERATIONS.md.
+/// Kinds of errors, as reported to callers and operators. Each kind has a page in docs/OPERATIONS.md.
 enum class ErrorKind {
-    BadRequest, ///< the request can't be understood; sending it again won't help
+    BadRequest, ///< the request is malformed; resending it won't help
     Unauthorised, ///< no organisation has the key
     Forbidden, ///< the organisation may not do this
     NotFound, ///< no such service, version, upstream or move
-    TooLarge, ///< over a declared or built-in size
+    TooLarge, ///< larger than a declared or built-in limit
     Conflict, ///< another command won under the same revision, or a key was used with another payload
     Invalid, ///< settings or declarations break a rule
-    Overloaded, ///< shed or refused for capacity; a later try may pass
-    Unavailable, ///< no quorum, no lease, no upstream, or a shutdown; a later try may pass
-    DeadlinePassed, ///< the time the caller gave can't be met or is over
+    Overloaded, ///< shed or refused for lack of capacity; a later attempt may succeed
+    Unavailable, ///< no quorum, no lease, no upstream, or a shutdown; a later attempt may succeed
+    DeadlinePassed, ///< the caller's deadline can't be met or has passed
     OutcomeUnknown, ///< the upstream may or may not have run the request
     UpstreamFailed, ///< the upstream ran the request and failed
-    Storage, ///< the disk refused or holds corrupt data
+    Storage, ///< a disk operation failed or the stored data is corrupt
     Internal, ///< a fault in cumindyke itself
 };
 
-/// The kind's name as it stands in JSON, logs and metrics, for example "bad-request".
+/// Returns the kind's name as used in JSON, logs and metrics, for example "bad-request".
 const char *toString(ErrorKind kind);
 
-/// A failure: its kind, and a message that ends with the remedy.
+/// An error: its kind, and a message that ends with the remedy.
 struct Error
 {
     ErrorKind kind = ErrorKind::Internal;
@@ -37,11 +37,11 @@
     auto operator<=>(const Error &) const = default;
 };
 
-/// A value, or why there is none.
+/// A value, or the error that explains why there is none.
 template<typename T>
 using Result = std::variant<T, Error>;
 
-/// The value of a Result that carries none.
+/// The value of a Result that has no value to return.
 struct Done
 {
     auto operator<=>(const Done &) const = default;
--- a/src/common/tomlreader.cpp
+++ b/src/common/tomlreader.cpp
@@ -20,7 +20,7 @@
 {
     const toml::table *table = nullptr;
     std::string path;
-    std::set<std::string, std::less<>> asked;
+    std::set<std::string, std::less<>> accessedKeys;
     std::vector<std::shared_ptr<Node>> children;
 };
 
@@ -31,23 +31,23 @@
     std::shared_ptr<TomlTable::Node> root = std::make_shared<TomlTable::Node>();
     std::vector<std::string> problems;
 
-    void note(const toml::source_region &where, const std::string &path, const std::string &problem)
+    void recordProblem(const toml::source_region &where, const std::string &path, const std::string &problem)
     {
         problems.push_back(fileName + ":" + std::to_string(where.begin.line) + ": " + path + ": " + problem);
     }
 
-    void noteUnknown(const TomlTable::Node &node)
+    void recordUnknownKeys(const TomlTable::Node &node)
     {
         if (!node.table) {
             return;
         }
         for (const auto &[key, value] : *node.table) {
-            if (!node.asked.contains(key.str())) {
-                note(value.source(), node.path + std::string(key.str()), "unknown key: remove it or mend its spelling");
+            if (!node.accessedKeys.contains(key.str())) {
+                recordProblem(value.source(), node.path + std::string(key.str()), "unknown key: remove it or correct its spelling");
             }
         }
         for (const auto &child : node.children) {
-            noteUnknown(*child);
+            recordUnknownKeys(*child);
         }
     }
 };
@@ -55,11 +55,11 @@
 namespace
 {
 
-/// The node under a key, remembering that it was asked for.
+/// Returns the node at a key, or null, and records that the key was read.
 template<typename Node>
-const toml::node *ask(Node &node, std::string_view key)
+const toml::node *accessNode(Node &node, std::string_view key)
 {
-    node.asked.emplace(key);
+    node.accessedKeys.emplace(key);
     return node.table ? node.table->get(key) : nullptr;
 }
 
@@ -78,19 +78,19 @@
 
 void TomlTable::reject(std::string_view key, const std::string &problemAndRemedy)
 {
-    const toml::node *node = ask(*m_node, key);
+    const toml::node *node = accessNode(*m_node, key);
     const toml::source_region where = node ? node->source() : (m_node->table ? m_node->table->source() : toml::source_region{});
-    m_document->d->note(where, m_node->path + std::string(key), problemAndRemedy);
+    m_document->d->recordProblem(where, m_node->path + std::string(key), problemAndRemedy);
 }
 
 std::string TomlTable::text(std::string_view key, std::string_view fallback)
 {
-    const toml::node *node = ask(*m_node, key);
+    const toml::node *node = accessNode(*m_node, key);
     if (!node) {
         return std::string(fallback);
     }
     if (!node->is_string()) {
-        reject(key, "wrong type: write a text in quotes");
+        reject(key, "wrong type: write a string in quotes");
         return std::string(fallback);
     }
     return node->as_string()->get();
@@ -99,40 +99,40 @@
 std::string TomlTable::requiredText(std::string_view key)
 {
     if (!has(key)) {
-        reject(key, "missing: add it, as a text in quotes");
+        reject(key, "missing: add it, as a string in quotes");
     }
     return text(key, "");
 }
 
-std::int64_t TomlTable::integer(std::string_view key, std::int64_t fallback, std::int64_t least, std::int64_t most)
+std::int64_t TomlTable::integer(std::string_view key, std::int64_t fallback, std::int64_t min, std::int64_t max)
 {
-    const toml::node *node = ask(*m_node, key);
+    const toml::node *node = accessNode(*m_node, key);
     if (!node) {
         return fallback;
     }
     if (!node->is_integer()) {
-        reject(key, "wrong type: write a whole number");
+        reject(key, "wrong type: write an integer");
         return fallback;
     }
     const std::int64_t value = node->as_integer()->get();
-    if (value < least || value > most) {
-        reject(key, std::to_string(value) + " is out of range: write " + std::to_string(least) + " to " + std::to_string(most));
+    if (value < min || value > max) {
+        reject(key, std::to_string(value) + " is out of range: write " + std::to_string(min) + " to " + std::to_string(max));
         return fallback;
     }
     return value;
 }
 
-std::int64_t TomlTable::requiredInteger(std::string_view key, std::int64_t least, std::int64_t most)
+std::int64_t TomlTable::requiredInteger(std::string_view key, std::int64_t min, std::int64_t max)
 {
     if (!has(key)) {
-        reject(key, "missing: add it, as a whole number");
+        reject(key, "missing: add it, as an integer");
     }
-    return integer(key, least, least, most);
+    return integer(key, min, min, max);
 }
 
-double TomlTable::number(std::string_view key, double fallback, double least, double most)
+double TomlTable::number(std::string_view key, double fallback, double min, double max)
 {
-    const toml::node *node = ask(*m_node, key);
+    const toml::node *node = accessNode(*m_node, key);
     if (!node) {
         return fallback;
     }
@@ -141,9 +141,9 @@
         reject(key, "wrong type: write a number");
         return fallback;
     }
-    if (!(*value >= least && *value <= most)) {
+    if (!(*value >= min && *value <= max)) {
         std::ostringstream range;
-        range << *value << " is out of range: write " << least << " to " << most;
+        range << *value << " is out of range: write " << min << " to " << max;
         reject(key, range.str());
         return fallback;
     }
@@ -152,7 +152,7 @@
 
 bool TomlTable::flag(std::string_view key, bool fallback)
 {
-    const toml::node *node = ask(*m_node, key);
+    const toml::node *node = accessNode(*m_node, key);
     if (!node) {
         return fallback;
     }
@@ -165,19 +165,19 @@
 
 std::vector<std::string> TomlTable::texts(std::string_view key)
 {
-    const toml::node *node = ask(*m_node, key);
+    const toml::node *node = accessNode(*m_node, key);
     if (!node) {
         return {};
     }
     const toml::array *array = node->as_array();
     if (!array) {
-        reject(key, "wrong type: write a list of texts in square brackets");
+        reject(key, "wrong type: write a list of strings in square brackets");
         return {};
     }
     std::vector<std::string> result;
     for (const toml::node &element : *array) {
         if (!element.is_string()) {
-            reject(key, "wrong type in the list: write texts in quotes");
+            reject(key, "wrong type in the list: write strings in quotes");
             continue;
         }
         result.push_back(element.as_string()->get());
@@ -187,7 +187,7 @@
 
 std::vector<double> TomlTable::numbers(std::string_view key)
 {
-    const toml::node *node = ask(*m_node, key);
+    const toml::node *node = accessNode(*m_node, key);
     if (!node) {
         return {};
     }
@@ -209,7 +209,7 @@
 
 std::vector<TomlTable> TomlTable::tables(std::string_view key)
 {
-    const toml::node *node = ask(*m_node, key);
+    const toml::node *node = accessNode(*m_node, key);
     if (!node) {
         return {};
     }
@@ -235,7 +235,7 @@
 
 TomlTable TomlTable::table(std::string_view key)
 {
-    const toml::node *node = ask(*m_node, key);
+    const toml::node *node = accessNode(*m_node, key);
     auto child = std::make_shared<Node>();
     child->path = m_node->path + std::string(key) + ".";
     if (node && !node->is_table()) {
@@ -262,7 +262,8 @@
         document->d->table = toml::parse(toml, fileName);
     } catch (const toml::parse_error &failure) {
         return Error{ErrorKind::Invalid,
-                     fileName + ":" + std::to_string(failure.source().begin.line) + ": not TOML: " + std::string(failure.description()) + ": mend this line"};
+                     fileName + ":" + std::to_string(failure.source().begin.line) + ": not TOML: " + std::string(failure.description())
+                         + ": correct this line"};
     }
     document->d->root->table = &document->d->table;
     return document;
@@ -284,7 +285,7 @@
 
 std::optional<Error> TomlDocument::finish()
 {
-    d->noteUnknown(*d->root);
+    d->recordUnknownKeys(*d->root);
     if (d->problems.empty()) {
         return {};
     }
--- a/src/common/types.h
+++ b/src/common/types.h
@@ -6,11 +6,11 @@
 #include <functional>
 #include <string>
 
-/// Ids and units that every part of the program shares.
+/// Identifiers and units shared by all parts of the program.
 namespace cumindyke
 {
 
-/// A value of one kind. Two kinds never convert into each other, so that an organisation's name can't be passed as a service's.
+/// A strongly typed value. Different types never convert into each other, so that an organisation's name can't be passed as a service's.
 template<typename Tag, typename Rep>
 struct Strong
 {
@@ -27,22 +27,22 @@
 using DataCentreName = Strong<struct DataCentreNameTag, std::string>;
 using VmName = Strong<struct VmNameTag, std::string>;
 using MoveName = Strong<struct MoveNameTag, std::string>;
-/// Made by the entry VM for each request it takes; unique over VMs and restarts. Upstreams echo it.
+/// Created by the entry VM for each request it accepts; unique across VMs and restarts. Upstreams echo it.
 using RequestId = Strong<struct RequestIdTag, std::string>;
-/// Made by the operator's client; a resend carries the same one.
+/// Created by the operator's client; a resend carries the same id.
 using CommandId = Strong<struct CommandIdTag, std::string>;
 /// Lower-case hexadecimal SHA-256 of an API key.
 using KeyHash = Strong<struct KeyHashTag, std::string>;
 
 /// 0 is the highest tier.
 using TierRank = Strong<struct TierRankTag, std::uint8_t>;
-/// Counts accepted changes of the declarations, from 1; 0 is "nothing declared yet".
+/// Counts accepted changes of the declarations, starting at 1; 0 means that nothing was declared yet.
 using Revision = Strong<struct RevisionTag, std::uint64_t>;
-/// Counts the holders of a lease; the fencing number on orders to upstreams.
+/// Counts the successive holders of a lease; used as the fencing number of orders to upstreams.
 using Epoch = Strong<struct EpochTag, std::uint64_t>;
 using TokenCount = Strong<struct TokenCountTag, std::uint32_t>;
 
-/// A monotonic clock whose readings are passed as arguments; in experiments they are virtual.
+/// A monotonic clock whose readings are passed as arguments; in experiments the time is virtual.
 struct SchedulerClock
 {
     using duration = std::chrono::microseconds;
@@ -54,13 +54,13 @@
 using Duration = SchedulerClock::duration;
 using TimePoint = SchedulerClock::time_point;
 
-/// Rounded towards zero, for messages and logs.
+/// Converts a duration to milliseconds, rounded towards zero, for messages and logs.
 constexpr std::int64_t wholeMilliseconds(Duration duration)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-/// Milliseconds since 1970 by the wall clock: only for what people declare and read, never for leases.
+/// Milliseconds since 1970 by the wall clock: only for times that people declare and read, never for leases.
 using WallTime = Strong<struct WallTimeTag, std::int64_t>;
 
 /// An IPv4 address in dotted form and a TCP port.
@@ -72,7 +72,7 @@
     auto operator<=>(const Address &) const = default;
 };
 
-/// "host:port", as in settings and declarations.
+/// Returns "host:port", as used in settings and declarations.
 inline std::string toString(const Address &address)
 {
     return address.host + ":" + std::to_string(address.port);
--- a/tests/common/packingtest.cpp
+++ b/tests/common/packingtest.cpp
@@ -4,7 +4,7 @@
 
 using namespace cumindyke;
 
-TEST_CASE("packed bytes come back as they were, and repeated ones are smaller")
+TEST_CASE("packed bytes unpack to the original, and repetitive ones get smaller")
 {
     std::string bytes;
     for (int i = 0; i < 1'000; ++i) {
@@ -16,8 +16,8 @@
     CHECK(valueOf(unpack(pack(""))).empty());
 }
 
-// Guards against a damaged or forged message that makes the process allocate without bound, or that is taken for another content.
-TEST_CASE("bytes that were not packed, cut short or larger than the limit are refused")
+// Guards against a damaged or forged message that makes the process allocate without bound or unpacks to different content.
+TEST_CASE("bytes that were not packed, are truncated or exceed the limit are refused")
 {
     const std::string packed = pack(std::string(10'000, 'x'));
     CHECK_FALSE(ok(unpack("")));
