--- a/src/raft/membershipplanner.cpp
+++ b/src/raft/membershipplanner.cpp
@@ -1,4 +1,4 @@
-#include "raft/membershipplanner.h"
+#include "raft/repair.h"
 
 #include <algorithm>
 
--- a/tests/raft/simulation.h
+++ b/tests/raft/simulation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "raft/membershipplanner.h"
+#include "raft/repair.h"
 #include "raft/replica.h"
 
 #include <functional>
