--- a/src/raft/repair.h
+++ b/src/raft/repair.h
@@ -5,7 +5,7 @@
 namespace cumindyke::raft
 {
 
-struct MembershipPlannerOptions
+struct MembershipRepairOptions
 {
     /// Number of voters to maintain.
     std::size_t targetVoters = 1;
@@ -25,7 +25,7 @@
 class MembershipPlanner
 {
 public:
-    explicit MembershipPlanner(MembershipPlannerOptions options)
+    explicit MembershipPlanner(MembershipRepairOptions options)
         : m_options(options)
     {
     }
@@ -51,7 +51,7 @@
     std::optional<v1::Membership> addLearner(const Core &core, TimePoint now) const;
     bool canCommit(const Core &core, const v1::Membership &next, TimePoint now) const;
 
-    const MembershipPlannerOptions m_options;
+    const MembershipRepairOptions m_options;
     std::map<VmName, Offer> m_offers;
 };
 
--- a/src/raft/replicatedlog.cpp
+++ b/src/raft/replicatedlog.cpp
@@ -67,9 +67,9 @@
         : options(std::move(logOptions))
         , storage(files, options.dataFolder)
         , sender{options.send}
-        , membershipPlanner(MembershipPlannerOptions{.targetVoters = std::max<std::size_t>({options.initialVoters.size(), options.wantedVoters, 1}),
-                                                     .minVoters = options.wantedVoters == 0 ? 0 : MinVoters,
-                                                     .memberTimeout = options.replacementTimeout})
+        , membershipPlanner(MembershipRepairOptions{.targetVoters = std::max<std::size_t>({options.initialVoters.size(), options.wantedVoters, 1}),
+                                                    .minVoters = options.wantedVoters == 0 ? 0 : MinVoters,
+                                                    .memberTimeout = options.replacementTimeout})
     {
     }
 
--- a/tests/raft/simulation.cpp
+++ b/tests/raft/simulation.cpp
@@ -127,7 +127,7 @@
         node.replica = std::make_unique<Replica<SimulatedDisk, SimulatedTransport, SimulatedState, Order>>(
             options, content, m_random.generator()(), perceivedStartTime(node), Snapshots, node.disk, node.transport, node.state);
         node.membershipPlanner
-            = std::make_unique<MembershipPlanner>(MembershipPlannerOptions{.targetVoters = VoterCount, .memberTimeout = 4s, .offerTimeout = 3s});
+            = std::make_unique<MembershipPlanner>(MembershipRepairOptions{.targetVoters = VoterCount, .memberTimeout = 4s, .offerTimeout = 3s});
         node.nextTick = m_now;
         node.lastLeaderSeenAt = m_now;
     }
