--- a/src/raft/repair.cpp
+++ b/src/raft/repair.cpp
@@ -31,12 +31,12 @@
 
 }
 
-void MembershipPlanner::recordOffer(const VmName &vm, std::uint64_t incarnation, TimePoint now)
+void MembershipRepair::recordOffer(const VmName &vm, std::uint64_t incarnation, TimePoint now)
 {
     m_offers[vm] = Offer{.incarnation = incarnation, .receivedAt = now};
 }
 
-std::optional<v1::Membership> MembershipPlanner::nextChange(const Core &core, TimePoint now) const
+std::optional<v1::Membership> MembershipRepair::nextChange(const Core &core, TimePoint now) const
 {
     if (core.role() != Core::Role::Leader || !core.membershipCommitted()) {
         return {};
@@ -52,13 +52,13 @@
     return change;
 }
 
-bool MembershipPlanner::isTimedOut(const Core &core, const std::string &member, TimePoint now) const
+bool MembershipRepair::isTimedOut(const Core &core, const std::string &member, TimePoint now) const
 {
     const Progress *progress = progressOf(core, member);
     return progress && now - progress->lastReplyAt > m_options.memberTimeout;
 }
 
-std::optional<std::string> MembershipPlanner::timedOutVoter(const Core &core, TimePoint now) const
+std::optional<std::string> MembershipRepair::timedOutVoter(const Core &core, TimePoint now) const
 {
     for (const std::string &voter : core.membership().voters()) {
         if (isTimedOut(core, voter, now)) {
@@ -70,7 +70,7 @@
 
 /// Makes a learner of a voter that has a new data folder. The promises made from the old folder are lost, so the voter may not vote until
 /// it is promoted again.
-std::optional<v1::Membership> MembershipPlanner::demoteWipedVoter(const Core &core) const
+std::optional<v1::Membership> MembershipRepair::demoteWipedVoter(const Core &core) const
 {
     for (const std::string &voter : core.membership().voters()) {
         const Progress *progress = progressOf(core, voter);
@@ -86,7 +86,7 @@
     return {};
 }
 
-std::optional<v1::Membership> MembershipPlanner::promoteLearner(const Core &core, TimePoint now) const
+std::optional<v1::Membership> MembershipRepair::promoteLearner(const Core &core, TimePoint now) const
 {
     const auto voters = static_cast<std::size_t>(core.membership().voters_size());
     if (voters > m_options.targetVoters || (voters == m_options.targetVoters && !timedOutVoter(core, now))) {
@@ -107,7 +107,7 @@
     return {};
 }
 
-std::optional<v1::Membership> MembershipPlanner::removeSurplusVoter(const Core &core, TimePoint now) const
+std::optional<v1::Membership> MembershipRepair::removeSurplusVoter(const Core &core, TimePoint now) const
 {
     const auto voters = static_cast<std::size_t>(core.membership().voters_size());
     const std::size_t minVoters = m_options.minVoters == 0 ? m_options.targetVoters : m_options.minVoters;
@@ -131,7 +131,7 @@
 }
 
 /// Removes a timed-out learner, and records the new incarnation of a learner that lost its data folder again.
-std::optional<v1::Membership> MembershipPlanner::updateLearners(const Core &core, TimePoint now) const
+std::optional<v1::Membership> MembershipRepair::updateLearners(const Core &core, TimePoint now) const
 {
     for (const std::string &learner : core.membership().learners()) {
         const Progress *progress = progressOf(core, learner);
@@ -150,7 +150,7 @@
     return {};
 }
 
-std::optional<v1::Membership> MembershipPlanner::addLearner(const Core &core, TimePoint now) const
+std::optional<v1::Membership> MembershipRepair::addLearner(const Core &core, TimePoint now) const
 {
     const bool needsLearner = static_cast<std::size_t>(core.membership().voters_size()) < m_options.targetVoters || timedOutVoter(core, now);
     if (!needsLearner || core.membership().learners_size() > 0) {
@@ -168,7 +168,7 @@
     return {};
 }
 
-bool MembershipPlanner::canCommit(const Core &core, const v1::Membership &next, TimePoint now) const
+bool MembershipRepair::canCommit(const Core &core, const v1::Membership &next, TimePoint now) const
 {
     int reachable = 0;
     for (const std::string &voter : next.voters()) {
--- a/src/raft/repair.h
+++ b/src/raft/repair.h
@@ -22,10 +22,10 @@
 /// Runs on the leader and chooses the next membership change, one at a time: a VM with a disk is added as a learner and promoted when it
 /// has caught up, and only then is the timed-out voter removed. A voter that restarted with an empty data folder becomes a learner at once.
 /// A change is proposed only when a quorum of the voters it results in has replied recently, so that it can't get stuck half-way.
-class MembershipPlanner
+class MembershipRepair
 {
 public:
-    explicit MembershipPlanner(MembershipRepairOptions options)
+    explicit MembershipRepair(MembershipRepairOptions options)
         : m_options(options)
     {
     }
--- a/src/raft/replicatedlog.cpp
+++ b/src/raft/replicatedlog.cpp
@@ -89,7 +89,7 @@
     FileStorage<PosixFileSystem> storage;
     Sender sender;
     State state;
-    MembershipPlanner membershipPlanner;
+    MembershipRepair membershipPlanner;
     Recovered recovered;
     std::unique_ptr<Formation> formation;
     std::unique_ptr<LogReplica> replica;
--- a/tests/raft/simulation.cpp
+++ b/tests/raft/simulation.cpp
@@ -78,7 +78,7 @@
         SimulatedTransport transport;
         SimulatedState state;
         std::unique_ptr<Replica<SimulatedDisk, SimulatedTransport, SimulatedState, Order>> replica;
-        std::unique_ptr<MembershipPlanner> membershipPlanner;
+        std::unique_ptr<MembershipRepair> membershipPlanner;
         Duration clockOffset{};
         /// Clock rate in thousandths of real time.
         Duration::rep clockRate = 1000;
@@ -127,7 +127,7 @@
         node.replica = std::make_unique<Replica<SimulatedDisk, SimulatedTransport, SimulatedState, Order>>(
             options, content, m_random.generator()(), perceivedStartTime(node), Snapshots, node.disk, node.transport, node.state);
         node.membershipPlanner
-            = std::make_unique<MembershipPlanner>(MembershipRepairOptions{.targetVoters = VoterCount, .memberTimeout = 4s, .offerTimeout = 3s});
+            = std::make_unique<MembershipRepair>(MembershipRepairOptions{.targetVoters = VoterCount, .memberTimeout = 4s, .offerTimeout = 3s});
         node.nextTick = m_now;
         node.lastLeaderSeenAt = m_now;
     }
