--- a/src/raft/replicatedlog.cpp
+++ b/src/raft/replicatedlog.cpp
@@ -67,9 +67,9 @@
         : options(std::move(logOptions))
         , storage(files, options.dataFolder)
         , sender{options.send}
-        , membershipPlanner(MembershipRepairOptions{.targetVoters = std::max<std::size_t>({options.initialVoters.size(), options.wantedVoters, 1}),
-                                                    .minVoters = options.wantedVoters == 0 ? 0 : MinVoters,
-                                                    .memberTimeout = options.replacementTimeout})
+        , membershipRepair(MembershipRepairOptions{.targetVoters = std::max<std::size_t>({options.initialVoters.size(), options.wantedVoters, 1}),
+                                                   .minVoters = options.wantedVoters == 0 ? 0 : MinVoters,
+                                                   .memberTimeout = options.replacementTimeout})
     {
     }
 
@@ -89,7 +89,7 @@
     FileStorage<PosixFileSystem> storage;
     Sender sender;
     State state;
-    MembershipRepair membershipPlanner;
+    MembershipRepair membershipRepair;
     Recovered recovered;
     std::unique_ptr<Formation> formation;
     std::unique_ptr<LogReplica> replica;
@@ -196,7 +196,7 @@
 
 void ReplicatedLog::Private::proposeMembershipChange(TimePoint now)
 {
-    if (const auto change = membershipPlanner.nextChange(replica->core(), now)) {
+    if (const auto change = membershipRepair.nextChange(replica->core(), now)) {
         replica->core().changeMembership(*change, now);
     }
 }
@@ -285,7 +285,7 @@
     if (isFormation) {
         d->handleFormation(message, now);
     } else if (message.kind() == v1::RaftMessage::STANDBY) {
-        d->membershipPlanner.recordOffer(VmName{message.from()}, message.incarnation(), now);
+        d->membershipRepair.recordOffer(VmName{message.from()}, message.incarnation(), now);
     } else if (d->replica) {
         d->replica->core().step(message, now);
         d->requestFlush();
--- a/tests/raft/simulation.cpp
+++ b/tests/raft/simulation.cpp
@@ -78,7 +78,7 @@
         SimulatedTransport transport;
         SimulatedState state;
         std::unique_ptr<Replica<SimulatedDisk, SimulatedTransport, SimulatedState, Order>> replica;
-        std::unique_ptr<MembershipRepair> membershipPlanner;
+        std::unique_ptr<MembershipRepair> membershipRepair;
         Duration clockOffset{};
         /// Clock rate in thousandths of real time.
         Duration::rep clockRate = 1000;
@@ -126,7 +126,7 @@
         const CoreOptions options{.self = node.name, .maxBatchBytes = 64, .maxInFlightAppends = 4, .maxChunkBytes = 24, .maxPromotionLag = 8};
         node.replica = std::make_unique<Replica<SimulatedDisk, SimulatedTransport, SimulatedState, Order>>(
             options, content, m_random.generator()(), perceivedStartTime(node), Snapshots, node.disk, node.transport, node.state);
-        node.membershipPlanner
+        node.membershipRepair
             = std::make_unique<MembershipRepair>(MembershipRepairOptions{.targetVoters = VoterCount, .memberTimeout = 4s, .offerTimeout = 3s});
         node.nextTick = m_now;
         node.lastLeaderSeenAt = m_now;
@@ -213,7 +213,7 @@
         } else if (m_now - node.lastLeaderSeenAt > 2s) {
             offer(node);
         }
-        if (const auto change = node.membershipPlanner->nextChange(node.replica->core(), now)) {
+        if (const auto change = node.membershipRepair->nextChange(node.replica->core(), now)) {
             m_result.membershipChanges += ok(node.replica->core().changeMembership(*change, now)) ? 1 : 0;
         }
         flush(node);
@@ -224,7 +224,7 @@
     {
         for (const auto &other : m_nodes) {
             if (other->replica && !m_network.isBlocked(node.name, other->name)) {
-                other->membershipPlanner->recordOffer(node.name, node.disk.content.identity.incarnation, localTime(*other, m_now));
+                other->membershipRepair->recordOffer(node.name, node.disk.content.identity.incarnation, localTime(*other, m_now));
             }
         }
     }
