--- a/src/peer/peerdatagrams.cpp
+++ b/src/peer/peerdatagrams.cpp
@@ -8,7 +8,7 @@
 
 /// A few packets: the more packets a datagram is split into, the likelier is the loss of one, and with it of the whole datagram.
 constexpr std::size_t MaxDatagramBytes = 8 << 10;
-/// Bounds the memory used for senders that are no VMs. Several times the number of VMs of the largest system.
+/// Limits the memory used for senders that are no VMs: several times the number of VMs of the largest system.
 constexpr std::size_t MaxSenders = 2000;
 
 }
--- a/src/peer/peertransport.cpp
+++ b/src/peer/peertransport.cpp
@@ -23,7 +23,7 @@
 constexpr int MaxTimeoutsBeforeReconnect = 8;
 /// A connection without a call for this long is closed, so that a VM keeps connections only to the VMs that it currently communicates with.
 constexpr int IdleConnectionTimeoutMs = 60'000;
-/// Bounds the number of peers added by name, against invented names. Several times the number of VMs of the largest system.
+/// Limits the peers added by name, as a protection against invented names: several times the number of VMs of the largest system.
 constexpr std::size_t MaxNamedPeers = 2000;
 constexpr int MaxMessageBytes = 64 << 20;
 constexpr std::chrono::seconds LossLogInterval{1};
--- a/src/raft/core.h
+++ b/src/raft/core.h
@@ -13,7 +13,7 @@
 struct CoreOptions
 {
     VmName self;
-    /// A follower without contact to a leader for one to two timeouts starts an election; a leader without replies of a quorum for one
+    /// A follower without contact with a leader for one to two timeouts starts an election; a leader without replies from a quorum for one
     /// timeout steps down.
     Duration electionTimeout = std::chrono::milliseconds(750);
     Duration heartbeatInterval = std::chrono::milliseconds(100);
@@ -244,7 +244,7 @@
     TimePoint m_lastLeaderContactAt;
     /// Random; differs at each start of the process.
     const std::uint64_t m_processId;
-    /// True from a restart until this replica receives a message of a leader or grants a vote.
+    /// True from a restart until this replica receives a message from a leader or grants a vote.
     bool m_isFreshlyRestarted = true;
     /// Set once no leader can still rely on a promise to withhold votes that this replica made before its restart.
     bool m_isVotePromiseOver = false;
--- a/src/raft/coreleader.cpp
+++ b/src/raft/coreleader.cpp
@@ -124,8 +124,8 @@
 
 void Core::recordReply(Progress &progress, const v1::RaftMessage &reply, TimePoint now)
 {
-    // The follower has a different data folder than before: the entries it acknowledged are lost, and the matching index must be found
-    // anew. Otherwise the leader would treat its rejections as late ones and never send it anything again.
+    // The follower has a different data folder than before: the entries it acknowledged are lost, and the matching index must be
+    // determined again. Otherwise the leader would treat its rejections as late ones and never send it anything again.
     if (progress.incarnation != 0 && progress.incarnation != reply.incarnation()) {
         progress = Progress{.nextIndex = m_log.lastIndex() + 1};
     }
--- a/tests/peer/outgoingqueuetest.cpp
+++ b/tests/peer/outgoingqueuetest.cpp
@@ -64,8 +64,8 @@
     CHECK(queue.next()->envelopes.front().raft().round() == 2);
 }
 
-// Guards against a batch of several tables that a narrow link can't carry before the deadline, so that all of them are lost each time.
-TEST_CASE("a call carries few large messages, and its deadline grows with their bytes")
+// Guards against a batch of several tables that a narrow link can't carry within the timeout, so that all of them are lost each time.
+TEST_CASE("a call carries few large messages, and its timeout grows with their bytes")
 {
     OutgoingQueue queue(std::make_shared<SendBudget>());
     for (int i = 0; i < 8; ++i) {
