--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -282,7 +282,7 @@
     Vm &vm = vmOf(run);
     ++run.tries;
     run.place = vm.client->ask(
-        PlacementWish{
+        SlotRequest{
             .service = Service,
             .rank = request.organisation->priority * RoutePriorities + request.route->priority,
             .promptTokens = request.prompt,
--- a/src/placement/placementclient.cpp
+++ b/src/placement/placementclient.cpp
@@ -52,7 +52,7 @@
     return m_self;
 }
 
-PlacementId PlacementClient::ask(PlacementWish wish, TimePoint now)
+PlacementId PlacementClient::ask(SlotRequest wish, TimePoint now)
 {
     if (!anyWaiting()) {
         m_heard = now;
--- a/src/placement/placementclient.h
+++ b/src/placement/placementclient.h
@@ -14,7 +14,7 @@
 {
 
 /// A request that waits for room at an upstream.
-struct PlacementWish
+struct SlotRequest
 {
     ServiceName service;
     /// 0 is the most urgent.
@@ -93,7 +93,7 @@
         return m_ranked;
     }
 
-    PlacementId ask(PlacementWish wish, TimePoint now);
+    PlacementId ask(SlotRequest wish, TimePoint now);
     /// It was granted, and its first event came so long after the sending.
     void firstEvent(PlacementId id, Duration after);
     /// Milliseconds between its first events, where the grant asked for that.
@@ -122,7 +122,7 @@
 private:
     struct Held
     {
-        PlacementWish wish;
+        SlotRequest wish;
         bool placed = false;
         InstanceName upstream;
         std::uint32_t firstEventMs = 0;
--- a/src/proxy/placementhost.cpp
+++ b/src/proxy/placementhost.cpp
@@ -75,7 +75,7 @@
     advanceSoon();
 }
 
-PlacementId PlacementHost::ask(PlacementWish wish)
+PlacementId PlacementHost::ask(SlotRequest wish)
 {
     const PlacementId id = m_client.ask(std::move(wish), EventLoop::now());
     stateChanged();
--- a/src/proxy/placementhost.h
+++ b/src/proxy/placementhost.h
@@ -35,7 +35,7 @@
     static Result<std::unique_ptr<PlacementHost>> open(EventLoop &loop, PlacementHostOptions options);
 
     /// Answered by granted or refused, unless it is ended before.
-    PlacementId ask(PlacementWish wish);
+    PlacementId ask(SlotRequest wish);
     /// See PlacementClient.
     void firstEvent(PlacementId id, Duration after);
     void firstEvents(PlacementId id, double paceMs);
--- a/tests/placement/placementclienttest.cpp
+++ b/tests/placement/placementclienttest.cpp
@@ -30,9 +30,9 @@
     return fleet;
 }
 
-PlacementWish draft()
+SlotRequest draft()
 {
-    return PlacementWish{.service = ServiceName{"drafts"}, .objectiveAt = after(400), .answerBy = after(8000), .tried = {}};
+    return SlotRequest{.service = ServiceName{"drafts"}, .objectiveAt = after(400), .answerBy = after(8000), .tried = {}};
 }
 
 v1::PlacementReply granting(PlacementId id)
