--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -180,7 +180,7 @@
     }
     fleet.set_entry_vm_count(m_load.entryVms);
     for (Vm &vm : m_vms) {
-        vm.client->takeCandidates(fleet);
+        vm.client->setCandidates(fleet);
         vm.server->takeFleet(fleet);
         vm.server->takeRoutes(routes, m_now);
     }
--- a/src/placement/placementclient.cpp
+++ b/src/placement/placementclient.cpp
@@ -26,7 +26,7 @@
 
 }
 
-void PlacementClient::takeCandidates(const v1::FleetTally &fleet)
+void PlacementClient::setCandidates(const v1::FleetTally &fleet)
 {
     m_ranked.clear();
     for (const v1::PlacementVm &vm : fleet.placement_vms()) {
--- a/src/placement/placementclient.h
+++ b/src/placement/placementclient.h
@@ -84,7 +84,7 @@
     }
 
     /// The VMs that may place requests, of all data centres.
-    void takeCandidates(const v1::FleetTally &fleet);
+    void setCandidates(const v1::FleetTally &fleet);
     /// Whom to ask now.
     const VmName &server(TimePoint now) const;
     /// The VMs of each data centre, whom to ask first first.
--- a/src/proxy/placementhost.cpp
+++ b/src/proxy/placementhost.cpp
@@ -108,7 +108,7 @@
     }
     // Without datagrams a VM can ask nobody else.
     if (m_socket) {
-        m_client.takeCandidates(fleet);
+        m_client.setCandidates(fleet);
     }
 }
 
--- a/tests/placement/placementclienttest.cpp
+++ b/tests/placement/placementclienttest.cpp
@@ -54,8 +54,8 @@
     PlacementClient one(VmName{"10.0.0.1"}, Here, 7);
     PlacementClient two(VmName{"10.0.0.2"}, Here, 8);
     CHECK(one.server(Start) == VmName{"10.0.0.1"}); // Nobody is known yet.
-    one.takeCandidates(fleetOf({"10.0.0.1", "10.0.0.2", "10.0.0.3"}));
-    two.takeCandidates(fleetOf({"10.0.0.3", "10.0.0.2", "10.0.0.1"}));
+    one.setCandidates(fleetOf({"10.0.0.1", "10.0.0.2", "10.0.0.3"}));
+    two.setCandidates(fleetOf({"10.0.0.3", "10.0.0.2", "10.0.0.1"}));
     CHECK(one.server(Start) == two.server(Start));
     CHECK(one.server(Start) != VmName{"10.0.1.1"});
 }
@@ -65,7 +65,7 @@
 TEST_CASE("a silent server is passed over, the next ones in turn, and this VM itself in the end")
 {
     PlacementClient client(Self, Here, 7);
-    client.takeCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
+    client.setCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
     client.ask(draft(), Start);
     const VmName first = client.server(Start);
     CHECK_FALSE(client.passOverSilent(after(100)));
@@ -83,7 +83,7 @@
 TEST_CASE("a server that leaves is asked no more")
 {
     PlacementClient client(Self, Here, 7);
-    client.takeCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
+    client.setCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
     const PlacementId id = client.ask(draft(), Start);
     const VmName first = client.server(Start);
     v1::PlacementReply reply = granting(id);
@@ -97,7 +97,7 @@
 TEST_CASE("a request is granted once")
 {
     PlacementClient client(Self, Here, 7);
-    client.takeCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
+    client.setCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
     const PlacementId id = client.ask(draft(), Start);
     const VmName server = client.server(Start);
     const VmName other{server == VmName{"10.0.0.2"} ? "10.0.0.3" : "10.0.0.2"};
@@ -141,7 +141,7 @@
 TEST_CASE("what the server has confirmed is told by its id until it changes or another server is asked")
 {
     PlacementClient client(Self, Here, 7);
-    client.takeCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
+    client.setCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
     const PlacementId id = client.ask(draft(), Start);
     const VmName server = client.server(Start);
     v1::PlacementReply reply;
@@ -175,7 +175,7 @@
 TEST_CASE("the first events of a granted request are told with its next state")
 {
     PlacementClient client(Self, Here, 7);
-    client.takeCandidates(fleetOf({"10.0.0.1"}));
+    client.setCandidates(fleetOf({"10.0.0.1"}));
     const PlacementId id = client.ask(draft(), Start);
     client.state(Start);
     REQUIRE(client.takeReply(client.server(Start), granting(id), Start).size() == 1);
