--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -181,7 +181,7 @@
     fleet.set_entry_vm_count(m_load.entryVms);
     for (Vm &vm : m_vms) {
         vm.client->setCandidates(fleet);
-        vm.server->takeFleet(fleet);
+        vm.server->setFleet(fleet);
         vm.server->takeRoutes(routes, m_now);
     }
 }
--- a/src/placement/placementserver.h
+++ b/src/placement/placementserver.h
@@ -59,7 +59,7 @@
         m_limits.takeRoutes(routes, now);
     }
     /// How many entry VMs there are.
-    void takeFleet(const v1::FleetTally &fleet)
+    void setFleet(const v1::FleetTally &fleet)
     {
         m_fleetSize = std::max<std::uint32_t>(1, fleet.entry_vm_count());
     }
--- a/src/proxy/placementhost.cpp
+++ b/src/proxy/placementhost.cpp
@@ -100,9 +100,9 @@
     stateChanged();
 }
 
-void PlacementHost::takeFleet(const v1::FleetTally &fleet)
+void PlacementHost::setFleet(const v1::FleetTally &fleet)
 {
-    m_server.takeFleet(fleet);
+    m_server.setFleet(fleet);
     for (const v1::PlacementVm &vm : fleet.placement_vms()) {
         m_feed.takeDataCentre(DataCentreName{vm.data_centre()});
     }
--- a/src/proxy/placementhost.h
+++ b/src/proxy/placementhost.h
@@ -50,7 +50,7 @@
         return m_refused;
     }
 
-    void takeFleet(const v1::FleetTally &fleet);
+    void setFleet(const v1::FleetTally &fleet);
     void takeRoutes(const v1::RouteTable &routes);
     /// Other VMs count on being told of this one, also while it has nothing under way.
     void tellState();
--- a/src/proxy/proxytask.cpp
+++ b/src/proxy/proxytask.cpp
@@ -126,7 +126,7 @@
     m_placement->takeRollouts(rollouts);
     if (configuration.fleet && configuration.fleet != m_fleet) {
         m_fleet = configuration.fleet;
-        m_placement->takeFleet(*m_fleet);
+        m_placement->setFleet(*m_fleet);
     }
     if (!m_everReady && mayAdmit(EventLoop::now())) {
         m_everReady = true;
