--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -182,7 +182,7 @@
     for (Vm &vm : m_vms) {
         vm.client->setCandidates(fleet);
         vm.server->setFleet(fleet);
-        vm.server->takeRoutes(routes, m_now);
+        vm.server->setRoutes(routes, m_now);
     }
 }
 
--- a/src/placement/fleetlimits.cpp
+++ b/src/placement/fleetlimits.cpp
@@ -39,7 +39,7 @@
 
 }
 
-void FleetLimits::takeRoutes(const v1::RouteTable &routes, TimePoint now)
+void FleetLimits::setRoutes(const v1::RouteTable &routes, TimePoint now)
 {
     std::set<std::string> named;
     for (const v1::RoutedOrganisation &organisation : routes.organisations()) {
--- a/src/placement/fleetlimits.h
+++ b/src/placement/fleetlimits.h
@@ -30,7 +30,7 @@
     }
 
     /// The limits in force.
-    void takeRoutes(const v1::RouteTable &routes, TimePoint now);
+    void setRoutes(const v1::RouteTable &routes, TimePoint now);
     /// Part of all entry VMs, 0 to 1, whose admissions are known here. A smaller part takes its share of the levels with it.
     void setCoverage(double coverage, TimePoint now);
     /// What another server's process has admitted since its start, and what it takes the levels for.
--- a/src/placement/placementserver.h
+++ b/src/placement/placementserver.h
@@ -54,9 +54,9 @@
         m_rollouts = rollouts;
     }
     /// The organisations' limits.
-    void takeRoutes(const v1::RouteTable &routes, TimePoint now)
+    void setRoutes(const v1::RouteTable &routes, TimePoint now)
     {
-        m_limits.takeRoutes(routes, now);
+        m_limits.setRoutes(routes, now);
     }
     /// How many entry VMs there are.
     void setFleet(const v1::FleetTally &fleet)
--- a/src/proxy/placementhost.cpp
+++ b/src/proxy/placementhost.cpp
@@ -112,9 +112,9 @@
     }
 }
 
-void PlacementHost::takeRoutes(const v1::RouteTable &routes)
+void PlacementHost::setRoutes(const v1::RouteTable &routes)
 {
-    m_server.takeRoutes(routes, EventLoop::now());
+    m_server.setRoutes(routes, EventLoop::now());
 }
 
 void PlacementHost::tellState()
--- a/src/proxy/placementhost.h
+++ b/src/proxy/placementhost.h
@@ -51,7 +51,7 @@
     }
 
     void setFleet(const v1::FleetTally &fleet);
-    void takeRoutes(const v1::RouteTable &routes);
+    void setRoutes(const v1::RouteTable &routes);
     /// Other VMs count on being told of this one, also while it has nothing under way.
     void tellState();
     void takeRollouts(const std::map<std::string, v1::Rollout> &rollouts);
--- a/src/proxy/proxytask.cpp
+++ b/src/proxy/proxytask.cpp
@@ -114,7 +114,7 @@
     m_admitUntil = configuration.admitUntil;
     if (configuration.routes && (!m_routes || &m_routes->table() != configuration.routes.get())) {
         m_routes = std::make_shared<const RouteIndex>(configuration.routes);
-        m_placement->takeRoutes(*configuration.routes);
+        m_placement->setRoutes(*configuration.routes);
         // Limits may have been raised.
         m_closedLimits.clear();
         logChange("proxy", "routes-in-force", {{"version", std::to_string(configuration.routes->version())}});
--- a/tests/placement/fleetlimitstest.cpp
+++ b/tests/placement/fleetlimitstest.cpp
@@ -29,7 +29,7 @@
 FleetLimits limitsOf(std::uint64_t rate, double coverage, std::uint64_t tolerance = 0)
 {
     FleetLimits limits(tolerance);
-    limits.takeRoutes(limitedTo(rate), Start);
+    limits.setRoutes(limitedTo(rate), Start);
     limits.setCoverage(coverage, Start);
     return limits;
 }
@@ -150,9 +150,9 @@
 {
     FleetLimits limits = limitsOf(10'000, 1);
     limits.take(Ensemble, 0, Routine, after(1000));
-    limits.takeRoutes(limitedTo(1000), after(1000));
+    limits.setRoutes(limitedTo(1000), after(1000));
     CHECK(admittedOf(limits, 100, 100, after(1000)) == 1000);
-    limits.takeRoutes(limitedTo(0), after(1000));
+    limits.setRoutes(limitedTo(0), after(1000));
     CHECK(admittedOf(limits, 100, 100, after(1000)) == 10'000);
 }
 
--- a/tests/placement/placementservertest.cpp
+++ b/tests/placement/placementservertest.cpp
@@ -253,7 +253,7 @@
     organisation.set_name("ensemble");
     organisation.set_rate_per_s(100);
     organisation.set_burst(1000);
-    server.takeRoutes(routes, Start);
+    server.setRoutes(routes, Start);
     Entry entry;
     for (std::uint64_t id = 1; id <= 3; ++id) {
         entry.asks(id);
@@ -417,7 +417,7 @@
     organisation.set_name("ensemble");
     organisation.set_rate_per_s(100);
     organisation.set_burst(1000);
-    server.takeRoutes(routes, Start);
+    server.setRoutes(routes, Start);
     Entry entry;
     entry.isSent(1, "a");
     entry.asks(2);
