--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -252,7 +252,7 @@
         list.push_back(engine.instance);
     }
     for (Vm &vm : m_vms) {
-        vm.server->takeList(list, m_now);
+        vm.server->setList(list, m_now);
     }
     at(m_now + ListInterval, [this] { readList(); });
 }
--- a/src/placement/placementserver.cpp
+++ b/src/placement/placementserver.cpp
@@ -47,9 +47,9 @@
 
 }
 
-void PlacementServer::takeList(const std::vector<UpstreamInstance> &instances, TimePoint now)
+void PlacementServer::setList(const std::vector<UpstreamInstance> &instances, TimePoint now)
 {
-    m_board.takeList(instances, now);
+    m_board.setList(instances, now);
     m_listReadAt = now;
 }
 
--- a/src/placement/placementserver.h
+++ b/src/placement/placementserver.h
@@ -38,7 +38,7 @@
     }
 
     /// The platform's whole list of upstreams.
-    void takeList(const std::vector<UpstreamInstance> &instances, TimePoint now);
+    void setList(const std::vector<UpstreamInstance> &instances, TimePoint now);
     /// The list's part of one data centre.
     void takeListPart(const DataCentreName &dataCentre, const std::vector<UpstreamInstance> &instances, TimePoint now);
     /// Whether the list could be read the last time it was tried.
--- a/src/placement/upstreampool.cpp
+++ b/src/placement/upstreampool.cpp
@@ -40,7 +40,7 @@
 
 }
 
-void UpstreamBoard::takeList(const std::vector<UpstreamInstance> &instances, TimePoint now)
+void UpstreamBoard::setList(const std::vector<UpstreamInstance> &instances, TimePoint now)
 {
     std::map<InstanceName, Upstream> next;
     addToList(next, instances, now);
--- a/src/placement/upstreampool.h
+++ b/src/placement/upstreampool.h
@@ -58,7 +58,7 @@
     }
 
     /// The platform's whole list. An entry whose name was used by an earlier process starts with nothing learned.
-    void takeList(const std::vector<UpstreamInstance> &instances, TimePoint now = {});
+    void setList(const std::vector<UpstreamInstance> &instances, TimePoint now = {});
     /// The list's part of one data centre. From then on, farther upstreams are used only while their parts are fresh: an old part has upstreams
     /// that have left since.
     void takeListPart(const DataCentreName &dataCentre, const std::vector<UpstreamInstance> &instances, TimePoint now);
--- a/src/proxy/placementhost.cpp
+++ b/src/proxy/placementhost.cpp
@@ -60,17 +60,17 @@
     , m_noticeTimer(loop, [this] { sendNotices(); })
     , m_tick(loop, [this] { tick(); })
 {
-    m_feed.read().connect([this](const InstanceList &list) { takeList(list); });
+    m_feed.read().connect([this](const InstanceList &list) { setList(list); });
     m_feed.unreadable().connect([this] { m_server.setListReadable(false); });
 }
 
-void PlacementHost::takeList(const InstanceList &list)
+void PlacementHost::setList(const InstanceList &list)
 {
     m_server.setListReadable(true);
     if (list.dataCentre) {
         m_server.takeListPart(*list.dataCentre, list.instances, EventLoop::now());
     } else {
-        m_server.takeList(list.instances, EventLoop::now());
+        m_server.setList(list.instances, EventLoop::now());
     }
     advanceSoon();
 }
--- a/src/proxy/placementhost.h
+++ b/src/proxy/placementhost.h
@@ -61,7 +61,7 @@
 private:
     PlacementHost(EventLoop &loop, PlacementHostOptions options);
 
-    void takeList(const InstanceList &list);
+    void setList(const InstanceList &list);
     void takeDatagram(const std::string &host, std::string_view bytes);
     void takeState(const VmName &from, const v1::EntryState &state);
     void takeReply(const VmName &from, const v1::PlacementReply &reply);
--- a/tests/placement/placementservertest.cpp
+++ b/tests/placement/placementservertest.cpp
@@ -96,7 +96,7 @@
 TEST_CASE("two VMs together get no more places than there are")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
-    server.takeList({engine("a", 2)}, Start);
+    server.setList({engine("a", 2)}, Start);
     Entry one;
     Entry two;
     one.asks(1);
@@ -112,7 +112,7 @@
 TEST_CASE("a place that becomes free goes to the most urgent request of all VMs")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
-    server.takeList({engine("a", 1)}, Start);
+    server.setList({engine("a", 1)}, Start);
     Entry one;
     Entry two;
     one.asks(1, Routine);
@@ -137,7 +137,7 @@
 TEST_CASE("a grant that the VM does not know of is told again and takes no second place")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
-    server.takeList({engine("a", 2)}, Start);
+    server.setList({engine("a", 2)}, Start);
     Entry entry;
     entry.asks(1);
     server.takeState(Vm1, entry.next(), Start);
@@ -157,7 +157,7 @@
 TEST_CASE("places come back when a request ends, its VM restarts, and its VM falls silent")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
-    server.takeList({engine("a", 1)}, Start);
+    server.setList({engine("a", 1)}, Start);
     Entry entry;
     entry.asks(1);
     server.takeState(Vm1, entry.next(), Start);
@@ -187,7 +187,7 @@
 TEST_CASE("an overtaken state changes nothing")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
-    server.takeList({engine("a", 1)}, Start);
+    server.setList({engine("a", 1)}, Start);
     Entry entry;
     const v1::EntryState empty = entry.next();
     entry.asks(1);
@@ -201,7 +201,7 @@
 TEST_CASE("a server that takes over counts what was granted before it")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
-    server.takeList({engine("a", 2)}, Start);
+    server.setList({engine("a", 2)}, Start);
     Entry entry;
     entry.isSent(1, "a");
     entry.isSent(2, "a");
@@ -216,7 +216,7 @@
 TEST_CASE("what waited too long is refused and told when to come back, and a request of a lower rank with it")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
-    server.takeList({engine("a", 1)}, Start);
+    server.setList({engine("a", 1)}, Start);
     Entry entry;
     entry.isSent(1, "a");
     entry.asks(2, Committee);
@@ -233,7 +233,7 @@
 TEST_CASE("a VM whose requests wait hears that the server lives")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
-    server.takeList({engine("a", 1)}, Start);
+    server.setList({engine("a", 1)}, Start);
     Entry entry;
     entry.isSent(1, "a");
     entry.asks(2);
@@ -247,7 +247,7 @@
 TEST_CASE("a request over its organisation's limit is refused at once, and one without room gives its part of the limit back")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
-    server.takeList({engine("a", 1)}, Start);
+    server.setList({engine("a", 1)}, Start);
     v1::RouteTable routes;
     v1::RoutedOrganisation &organisation = *routes.add_organisations();
     organisation.set_name("ensemble");
@@ -280,7 +280,7 @@
 TEST_CASE("a request that is told by its id alone keeps its place, and loses it when it is left out")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
-    server.takeList({engine("a", 1)}, Start);
+    server.setList({engine("a", 1)}, Start);
     Entry entry;
     entry.asks(1);
     entry.asks(2);
@@ -306,14 +306,14 @@
 TEST_CASE("nothing is granted by a list from before a pause, unless the list can't be read")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
-    server.takeList({engine("a", 1)}, Start);
+    server.setList({engine("a", 1)}, Start);
     Entry entry;
     entry.asks(1);
     server.takeState(Vm1, entry.next(), after(5000));
     CHECK(grantedTo(Vm1, server.advance(after(5000))).empty());
     SECTION("the list is read")
     {
-        server.takeList({engine("a", 1)}, after(5010));
+        server.setList({engine("a", 1)}, after(5010));
         CHECK(grantedTo(Vm1, server.advance(after(5010))) == Ids{1});
     }
     SECTION("the platform does not answer")
@@ -343,7 +343,7 @@
 TEST_CASE("a request that another server placed meanwhile holds one place, and gives it back")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
-    server.takeList({engine("a", 1), engine("b", 1)}, Start);
+    server.setList({engine("a", 1), engine("b", 1)}, Start);
     Entry entry;
     SECTION("it still waited here")
     {
@@ -386,7 +386,7 @@
 TEST_CASE("a server that does not know what is told by an id alone asks for all of it")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
-    server.takeList({engine("a", 1)}, Start);
+    server.setList({engine("a", 1)}, Start);
     Entry entry;
     entry.asks(1);
     server.takeState(Vm1, entry.next(), Start);
@@ -411,7 +411,7 @@
 TEST_CASE("a caller that leaves while it waits gives its part of the limit back")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
-    server.takeList({engine("a", 1)}, Start);
+    server.setList({engine("a", 1)}, Start);
     v1::RouteTable routes;
     v1::RoutedOrganisation &organisation = *routes.add_organisations();
     organisation.set_name("ensemble");
@@ -437,7 +437,7 @@
 TEST_CASE("a VM that asks another server leaves nothing behind")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
-    server.takeList({engine("a", 2)}, Start);
+    server.setList({engine("a", 2)}, Start);
     Entry entry;
     entry.asks(1);
     entry.asks(2);
@@ -476,7 +476,7 @@
 TEST_CASE("a request that can't be on time any more doesn't wait for a place")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
-    server.takeList({engine("a", 1)}, Start);
+    server.setList({engine("a", 1)}, Start);
     Entry entry;
     entry.isSent(1, "a");
     entry.asks(2);
@@ -503,7 +503,7 @@
 TEST_CASE("a prompt that takes most of its objective to read may wait for a place all the same")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
-    server.takeList({engine("a", 1)}, Start);
+    server.setList({engine("a", 1)}, Start);
     Entry entry;
     for (std::uint64_t id = 1; id <= 20; ++id) {
         entry.state.clear_placed();
@@ -524,7 +524,7 @@
 TEST_CASE("a server asks for the pace of an upstream that it does not know")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
-    server.takeList({engine("a", 2)}, Start);
+    server.setList({engine("a", 2)}, Start);
     Entry entry;
     entry.asks(1);
     server.takeState(Vm1, entry.next(), Start);
--- a/tests/placement/upstreampooltest.cpp
+++ b/tests/placement/upstreampooltest.cpp
@@ -50,7 +50,7 @@
 TEST_CASE("places that other VMs have taken are not taken again")
 {
     UpstreamBoard board(Here);
-    board.takeList({instance("a"), instance("b")});
+    board.setList({instance("a"), instance("b")});
     board.takeNotice(VmName{"vm-2"}, noticeOf(1, 1, "a", 2), Start);
     CHECK(chosen(board, Start) == "b");
     board.takeNotice(VmName{"vm-3"}, noticeOf(1, 1, "b", 2), Start);
@@ -74,7 +74,7 @@
     }
     SECTION("a new list keeps what the VMs told")
     {
-        board.takeList({instance("a"), instance("b"), instance("c")});
+        board.setList({instance("a"), instance("b"), instance("c")});
         CHECK(chosen(board, Start) == "c");
     }
 }
@@ -84,7 +84,7 @@
     UpstreamBoard board(Here);
     UpstreamInstance leaving = instance("a");
     leaving.draining = true;
-    board.takeList({leaving});
+    board.setList({leaving});
     CHECK(chosen(board, Start).empty());
 }
 
@@ -92,7 +92,7 @@
 TEST_CASE("an upstream that fails several requests in a row rests and is tried again later")
 {
     UpstreamBoard board(Here);
-    board.takeList({instance("a"), instance("b", "dc-b")});
+    board.setList({instance("a"), instance("b", "dc-b")});
     board.failed(InstanceName{"a"}, Start);
     CHECK(chosen(board, Start) == "a");
     board.failed(InstanceName{"a"}, Start);
@@ -103,7 +103,7 @@
 TEST_CASE("a request leaves its data centre only when it gains by it")
 {
     UpstreamBoard board(Here);
-    board.takeList({instance("near"), instance("far", "dc-b")});
+    board.setList({instance("near"), instance("far", "dc-b")});
     board.observedPace(InstanceName{"near"}, 50);
     board.observedPace(InstanceName{"far"}, 45);
     CHECK(chosen(board, Start) == "near");
@@ -114,7 +114,7 @@
 TEST_CASE("a long prompt goes where less is to be read before it")
 {
     UpstreamBoard board(Here);
-    board.takeList({instance("a"), instance("b")});
+    board.setList({instance("a"), instance("b")});
     for (const char *name : {"a", "b"}) {
         board.observedPace(InstanceName{name}, 20);
     }
@@ -135,7 +135,7 @@
     UpstreamBoard board(Here);
     UpstreamInstance next = instance("new");
     next.version = VersionName{"v2"};
-    board.takeList({instance("old"), next});
+    board.setList({instance("old"), next});
     PlacementQuery query = AnyDraft;
     query.versions = VersionSplit{.target = VersionName{"v2"}, .toTarget = false};
     CHECK(chosen(board, Start, query) == "old");
@@ -149,7 +149,7 @@
 TEST_CASE("a prompt whose reading would make the streams beside it pause too long goes elsewhere")
 {
     UpstreamBoard board(Here);
-    board.takeList({instance("fast", "dc-a", 3), instance("slow", "dc-a", 3)});
+    board.setList({instance("fast", "dc-a", 3), instance("slow", "dc-a", 3)});
     board.observedPace(InstanceName{"fast"}, 20);
     board.observedPace(InstanceName{"slow"}, 65);
     for (int i = 1; i <= 20; ++i) {
@@ -183,7 +183,7 @@
 TEST_CASE("a long answer goes where it ends before its deadline")
 {
     UpstreamBoard board(Here);
-    board.takeList({instance("fast"), instance("slow")});
+    board.setList({instance("fast"), instance("slow")});
     board.observedPace(InstanceName{"fast"}, 12);
     board.observedPace(InstanceName{"slow"}, 60);
     PlacementQuery query = AnyDraft;
@@ -215,7 +215,7 @@
 TEST_CASE("an engine of unknown speed gets a few requests until its first events tell")
 {
     UpstreamBoard board(Here);
-    board.takeList({instance("known", "dc-a", 9), instance("new", "dc-a", 9)});
+    board.setList({instance("known", "dc-a", 9), instance("new", "dc-a", 9)});
     board.observedPace(InstanceName{"known"}, 20);
     for (int i = 1; i <= 20; ++i) {
         board.observedFirstEvent(InstanceName{"known"}, 1000.0 * i, 30 + 10.0 * i);
@@ -252,7 +252,7 @@
         for (int i = 0; i < upstreams; ++i) {
             list.push_back(instance(nameOf(i)));
         }
-        board.takeList(list);
+        board.setList(list);
     }
 
     static std::string nameOf(int upstream)
@@ -299,7 +299,7 @@
 {
     NoticeSender sender(2);
     UpstreamBoard receiver(Here);
-    receiver.takeList({instance(NoticeSender::nameOf(0)), instance(NoticeSender::nameOf(1))});
+    receiver.setList({instance(NoticeSender::nameOf(0)), instance(NoticeSender::nameOf(1))});
     const InstanceName name{NoticeSender::nameOf(0)};
     const VmName vm{"vm-2"};
     sender.board.sent(name, 100);
@@ -340,7 +340,7 @@
         sender.board.sent(name, 100);
         sender.board.observedPace(name, 20);
     }
-    receiver.takeList(list);
+    receiver.setList(list);
     sender.next();
     for (int i = 0; i < 4; ++i) {
         for (int j = 0; j < 9; ++j) {
@@ -358,7 +358,7 @@
 TEST_CASE("farther upstreams are used while their part of the list is fresh, or while the list can't be read")
 {
     UpstreamBoard board(Here);
-    board.takeList({instance("near"), instance("far", "dc-b")}, Start);
+    board.setList({instance("near"), instance("far", "dc-b")}, Start);
     board.sent(InstanceName{"near"}, 0);
     board.sent(InstanceName{"near"}, 0);
     CHECK(chosen(board, Start) == "far");
@@ -385,7 +385,7 @@
 TEST_CASE("a choice says when a farther upstream might be better")
 {
     UpstreamBoard board(Here);
-    board.takeList({instance("near")}, Start);
+    board.setList({instance("near")}, Start);
     CHECK_FALSE(board.choose(AnyDraft, Start).fartherMayHelp);
     board.sent(InstanceName{"near"}, 0);
     CHECK(board.choose(AnyDraft, Start).fartherMayHelp);
