--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -260,7 +260,7 @@
 void Rig::tick()
 {
     for (Vm &vm : m_vms) {
-        vm.server->forgetSilent(m_now);
+        vm.server->expireTimedOut(m_now);
         stateChanged(vm);
         if (vm.server->isUsed()) {
             advanceSoon(vm);
--- a/src/placement/placementserver.cpp
+++ b/src/placement/placementserver.cpp
@@ -304,9 +304,9 @@
     }
 }
 
-void PlacementServer::forgetSilent(TimePoint now)
+void PlacementServer::expireTimedOut(TimePoint now)
 {
-    m_board.forgetSilent(now);
+    m_board.expireTimedOut(now);
     std::erase_if(m_entries, [&](const auto &held) {
         const bool silent = now - held.second.heard > EntryHolds;
         if (silent) {
--- a/src/placement/placementserver.h
+++ b/src/placement/placementserver.h
@@ -70,7 +70,7 @@
     /// Gives out what there is room for, refuses what has waited too long, and returns the replies that are due.
     std::vector<Reply> advance(TimePoint now);
     /// Entry VMs that have fallen silent have nothing under way any more, or nobody knows what.
-    void forgetSilent(TimePoint now);
+    void expireTimedOut(TimePoint now);
 
     /// Other servers that place requests at present.
     std::vector<VmName> activePeers(TimePoint now) const;
--- a/src/placement/upstreampool.cpp
+++ b/src/placement/upstreampool.cpp
@@ -154,7 +154,7 @@
     forgetUntold(peer);
 }
 
-void UpstreamBoard::forgetSilent(TimePoint now)
+void UpstreamBoard::expireTimedOut(TimePoint now)
 {
     for (auto &[vm, peer] : m_peers) {
         if (now - peer.heard > NoticeHolds && !peer.loads.empty()) {
--- a/src/placement/upstreampool.h
+++ b/src/placement/upstreampool.h
@@ -74,7 +74,7 @@
     /// What another placement server has given out. Older than what came before: ignored.
     void takeNotice(const VmName &vm, const v1::LoadNotice &notice, TimePoint now);
     /// Servers that have fallen silent have nothing in flight any more, or nobody knows what.
-    void forgetSilent(TimePoint now);
+    void expireTimedOut(TimePoint now);
 
     /// The upstream that will answer soonest; none when all of them are full or out of use.
     Placement choose(const PlacementQuery &query, TimePoint now) const;
--- a/src/proxy/placementhost.cpp
+++ b/src/proxy/placementhost.cpp
@@ -304,7 +304,7 @@
 void PlacementHost::tick()
 {
     const TimePoint now = EventLoop::now();
-    m_server.forgetSilent(now);
+    m_server.expireTimedOut(now);
     ++m_ticks;
     if (m_client.passOverSilent(now)) {
         logWarning("placement", "server-silent", {{"now_asks", m_client.server(now).value}});
--- a/tests/placement/placementservertest.cpp
+++ b/tests/placement/placementservertest.cpp
@@ -179,7 +179,7 @@
     SECTION("silence")
     {
         server.takeState(Vm2, other.next(), after(1600));
-        server.forgetSilent(after(1700));
+        server.expireTimedOut(after(1700));
     }
     CHECK(grantedTo(Vm2, server.advance(after(1700))) == Ids{9});
 }
@@ -391,7 +391,7 @@
     entry.asks(1);
     server.takeState(Vm1, entry.next(), Start);
     CHECK_FALSE(server.advance(Start).front().second.tell_all());
-    server.forgetSilent(after(1600));
+    server.expireTimedOut(after(1600));
     entry.state.clear_asks();
     entry.state.add_unchanged(1);
     server.takeState(Vm1, entry.next(), after(1700));
--- a/tests/placement/upstreampooltest.cpp
+++ b/tests/placement/upstreampooltest.cpp
@@ -69,7 +69,7 @@
     }
     SECTION("a VM that fell silent holds no place for ever")
     {
-        board.forgetSilent(Start + std::chrono::seconds(2));
+        board.expireTimedOut(Start + std::chrono::seconds(2));
         CHECK_FALSE(chosen(board, Start + std::chrono::seconds(2)).empty());
     }
     SECTION("a new list keeps what the VMs told")
