--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -262,7 +262,7 @@
     for (Vm &vm : m_vms) {
         vm.server->expireTimedOut(m_now);
         stateChanged(vm);
-        if (vm.server->isUsed()) {
+        if (vm.server->hasRequests()) {
             advanceSoon(vm);
         }
     }
--- a/src/placement/placementserver.cpp
+++ b/src/placement/placementserver.cpp
@@ -69,7 +69,7 @@
 void PlacementServer::takeNotice(const VmName &from, const v1::LoadNotice &notice, TimePoint now)
 {
     m_board.takeNotice(from, notice, now);
-    m_limits.takeNotice(from, notice, !isUsed(), now);
+    m_limits.takeNotice(from, notice, !hasRequests(), now);
     m_peers[from] = Peer{.heard = now, .entryVms = notice.entry_vms()};
     updateCoverage(now);
 }
@@ -328,7 +328,7 @@
     return active;
 }
 
-bool PlacementServer::isUsed() const
+bool PlacementServer::hasRequests() const
 {
     return std::ranges::any_of(m_entries, [](const auto &held) { return !held.second.items.empty(); });
 }
--- a/src/placement/placementserver.h
+++ b/src/placement/placementserver.h
@@ -75,7 +75,7 @@
     /// Other servers that place requests at present.
     std::vector<VmName> activePeers(TimePoint now) const;
     /// Some entry VM has something here.
-    bool isUsed() const;
+    bool hasRequests() const;
     /// How many wait for room.
     std::size_t waiting() const;
     /// What was given out here; for a VM that may have to take over, with what was learned.
--- a/src/proxy/placementhost.cpp
+++ b/src/proxy/placementhost.cpp
@@ -312,7 +312,7 @@
     } else if (m_client.isBusy() && m_ticks % TicksPerState == 0) {
         sendState();
     }
-    if (m_server.isUsed()) {
+    if (m_server.hasRequests()) {
         m_usedAt = now;
         advanceSoon();
     }
--- a/tests/placement/placementservertest.cpp
+++ b/tests/placement/placementservertest.cpp
@@ -450,7 +450,7 @@
     {
         departure.set_sequence(2);
         server.takeState(Vm1, departure, after(1));
-        CHECK_FALSE(server.isUsed());
+        CHECK_FALSE(server.hasRequests());
         Entry other;
         other.asks(5);
         server.takeState(Vm2, other.next(), after(2));
@@ -460,14 +460,14 @@
     {
         departure.set_sequence(1);
         server.takeState(Vm1, departure, after(1));
-        CHECK(server.isUsed());
+        CHECK(server.hasRequests());
     }
     SECTION("nor by one of the process before")
     {
         departure.set_sequence(9);
         departure.set_incarnation(6);
         server.takeState(Vm1, departure, after(1));
-        CHECK(server.isUsed());
+        CHECK(server.hasRequests());
     }
 }
 
