--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -346,7 +346,7 @@
     v1::LoadNotice notice;
     notice.set_incarnation(Incarnation);
     notice.set_sequence(++from.notices);
-    from.server->fillNotice(notice, false, m_now);
+    from.server->writeNotice(notice, false, m_now);
     for (Vm &other : m_vms) {
         if (other.dataCentre == from.dataCentre || &serverOf(other) != &other) {
             continue;
--- a/src/placement/fleetlimits.cpp
+++ b/src/placement/fleetlimits.cpp
@@ -225,7 +225,7 @@
     }
 }
 
-void FleetLimits::fillNotice(v1::LoadNotice &notice, bool withLevels, TimePoint now)
+void FleetLimits::writeNotice(v1::LoadNotice &notice, bool withLevels, TimePoint now)
 {
     const bool due = std::exchange(m_spendsChanged, false) || withLevels || notice.sequence() % NoticesBetweenSpends == 0;
     if (!due) {
--- a/src/placement/fleetlimits.h
+++ b/src/placement/fleetlimits.h
@@ -37,7 +37,7 @@
     /// While nobody asks here, its levels are taken over.
     void takeNotice(const VmName &from, const v1::LoadNotice &notice, bool adopt, TimePoint now);
     /// For notices: all that was admitted here if any of it changed, and by turns; the levels too if the receiver may have to go on from them.
-    void fillNotice(v1::LoadNotice &notice, bool withLevels, TimePoint now);
+    void writeNotice(v1::LoadNotice &notice, bool withLevels, TimePoint now);
 
     /// Admits the cost. None: admitted; otherwise how long until a request like it is likely to pass. While an organisation asks for more than its limit,
     /// requests of lower ranks leave a reserve to the more urgent ones.
--- a/src/placement/placementserver.cpp
+++ b/src/placement/placementserver.cpp
@@ -74,10 +74,10 @@
     updateCoverage(now);
 }
 
-void PlacementServer::fillNotice(v1::LoadNotice &notice, bool forBackup, TimePoint now)
+void PlacementServer::writeNotice(v1::LoadNotice &notice, bool forBackup, TimePoint now)
 {
-    m_board.fillNotice(notice, forBackup);
-    m_limits.fillNotice(notice, forBackup, now);
+    m_board.writeNotice(notice, forBackup);
+    m_limits.writeNotice(notice, forBackup, now);
     notice.set_entry_vms(static_cast<std::uint32_t>(m_entries.size()));
 }
 
--- a/src/placement/placementserver.h
+++ b/src/placement/placementserver.h
@@ -79,7 +79,7 @@
     /// How many wait for room.
     std::size_t waiting() const;
     /// What was given out here; for a VM that may have to take over, with what was learned.
-    void fillNotice(v1::LoadNotice &notice, bool forBackup, TimePoint now);
+    void writeNotice(v1::LoadNotice &notice, bool forBackup, TimePoint now);
 
 private:
     struct AskKey
--- a/src/placement/upstreampool.cpp
+++ b/src/placement/upstreampool.cpp
@@ -428,7 +428,7 @@
     return isItsTurn && (now != Load{} || std::exchange(repeatsNothing, false));
 }
 
-void UpstreamBoard::fillNotice(v1::LoadNotice &notice, bool forBackup)
+void UpstreamBoard::writeNotice(v1::LoadNotice &notice, bool forBackup)
 {
     const std::uint64_t slice = notice.sequence() % Slices;
     m_backupNotices += forBackup ? 1 : 0;
--- a/src/placement/upstreampool.h
+++ b/src/placement/upstreampool.h
@@ -110,7 +110,7 @@
     std::uint32_t inFlight(const InstanceName &name) const;
     /// What was given out here, as far as it changed since the last notice, and a part of the rest by turns; for a VM that may have to take over,
     /// which hears few notices, what changed since the last of those, with what was learned of the upstreams' paces. Needs the notice's sequence.
-    void fillNotice(v1::LoadNotice &notice, bool forBackup);
+    void writeNotice(v1::LoadNotice &notice, bool forBackup);
 
 private:
     struct Load
--- a/src/proxy/placementhost.cpp
+++ b/src/proxy/placementhost.cpp
@@ -280,7 +280,7 @@
     v1::PlacementDatagram datagram;
     datagram.mutable_notice()->set_incarnation(m_options.incarnation);
     datagram.mutable_notice()->set_sequence(m_notices);
-    m_server.fillNotice(*datagram.mutable_notice(), toBackups, EventLoop::now());
+    m_server.writeNotice(*datagram.mutable_notice(), toBackups, EventLoop::now());
     const bool hasNews = datagram.notice().loads_size() + datagram.notice().spends_size() > 0;
     if (!hasNews && EventLoop::now() - m_lastNotice < QuietNoticeInterval) {
         return;
--- a/tests/placement/fleetlimitstest.cpp
+++ b/tests/placement/fleetlimitstest.cpp
@@ -140,7 +140,7 @@
     v1::LoadNotice notice;
     notice.set_incarnation(3);
     notice.set_sequence(1);
-    before.fillNotice(notice, true, after(100));
+    before.writeNotice(notice, true, after(100));
     FleetLimits next = limitsOf(1000, 1);
     next.takeNotice(Other, notice, true, after(100));
     CHECK(admittedOf(next, 100, 20, after(100)) == 100);
@@ -233,7 +233,7 @@
         v1::LoadNotice notice;
         notice.set_incarnation(3);
         notice.set_sequence(++sequence);
-        sender.fillNotice(notice, false, Start);
+        sender.writeNotice(notice, false, Start);
         return notice;
     };
     const auto tell = [&] {
--- a/tests/placement/placementservertest.cpp
+++ b/tests/placement/placementservertest.cpp
@@ -147,7 +147,7 @@
     server.takeState(Vm1, entry.next(), after(30));
     CHECK(grantedTo(Vm1, server.advance(after(30))) == Ids{1});
     v1::LoadNotice notice;
-    server.fillNotice(notice, false, after(30));
+    server.writeNotice(notice, false, after(30));
     REQUIRE(notice.loads_size() == 1);
     CHECK(notice.loads(0).in_flight() == 1);
 }
@@ -272,7 +272,7 @@
     REQUIRE(refusals(later) == 1);
     CHECK(later.front().second.refusals(0).reason() == v1::PLACEMENT_NO_ROOM);
     v1::LoadNotice notice;
-    server.fillNotice(notice, false, after(1300));
+    server.writeNotice(notice, false, after(1300));
     REQUIRE(notice.spends_size() == 1);
     CHECK(notice.spends(0).admitted() == 400);
 }
@@ -367,14 +367,14 @@
     server.takeState(Vm1, entry.next(), after(20));
     CHECK(grantedTo(Vm1, server.advance(after(20))).empty());
     v1::LoadNotice notice;
-    server.fillNotice(notice, false, after(20));
+    server.writeNotice(notice, false, after(20));
     REQUIRE(notice.loads_size() == 1);
     CHECK(notice.loads(0).upstream() == "b");
     CHECK(notice.loads(0).in_flight() == 1);
     entry.state.clear_placed();
     server.takeState(Vm1, entry.next(), after(30));
     v1::LoadNotice later;
-    server.fillNotice(later, false, after(30));
+    server.writeNotice(later, false, after(30));
     REQUIRE(later.loads_size() == 1);
     CHECK(later.loads(0).upstream() == "b");
     CHECK(later.loads(0).in_flight() == 0);
@@ -427,7 +427,7 @@
     entry.state.clear_asks();
     server.takeState(Vm1, entry.next(), after(10));
     v1::LoadNotice notice;
-    server.fillNotice(notice, false, after(10));
+    server.writeNotice(notice, false, after(10));
     REQUIRE(notice.spends_size() == 1);
     CHECK(notice.spends(0).admitted() == 0);
 }
--- a/tests/placement/upstreampooltest.cpp
+++ b/tests/placement/upstreampooltest.cpp
@@ -265,7 +265,7 @@
         v1::LoadNotice notice;
         notice.set_incarnation(1);
         notice.set_sequence(++sequence);
-        board.fillNotice(notice, forBackup);
+        board.writeNotice(notice, forBackup);
         return notice;
     }
 
