--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -351,7 +351,7 @@
         if (other.dataCentre == from.dataCentre || &serverOf(other) != &other) {
             continue;
         }
-        at(m_now + m_load.oneWay, [this, &other, name = from.name, notice] { other.server->takeNotice(name, notice, m_now); });
+        at(m_now + m_load.oneWay, [this, &other, name = from.name, notice] { other.server->handleNotice(name, notice, m_now); });
     }
     at(m_now + NoticeInterval, [this, &from] { notify(from); });
 }
--- a/src/placement/fleetlimits.cpp
+++ b/src/placement/fleetlimits.cpp
@@ -187,7 +187,7 @@
         + " asked_per_s=" + whole(bucket.asked.perSecond) + " coverage=" + std::to_string(m_coverage);
 }
 
-void FleetLimits::takeNotice(const VmName &from, const v1::LoadNotice &notice, bool adopt, TimePoint now)
+void FleetLimits::handleNotice(const VmName &from, const v1::LoadNotice &notice, bool adopt, TimePoint now)
 {
     if (notice.spends().empty()) {
         return; // They are as they were told last.
--- a/src/placement/fleetlimits.h
+++ b/src/placement/fleetlimits.h
@@ -35,7 +35,7 @@
     void setCoverage(double coverage, TimePoint now);
     /// What another server's process has admitted since its start, and what it takes the levels for.
     /// While nobody asks here, its levels are taken over.
-    void takeNotice(const VmName &from, const v1::LoadNotice &notice, bool adopt, TimePoint now);
+    void handleNotice(const VmName &from, const v1::LoadNotice &notice, bool adopt, TimePoint now);
     /// For notices: all that was admitted here if any of it changed, and by turns; the levels too if the receiver may have to go on from them.
     void writeNotice(v1::LoadNotice &notice, bool withLevels, TimePoint now);
 
--- a/src/placement/placementserver.cpp
+++ b/src/placement/placementserver.cpp
@@ -66,10 +66,10 @@
     return now < m_fartherWantedUntil;
 }
 
-void PlacementServer::takeNotice(const VmName &from, const v1::LoadNotice &notice, TimePoint now)
+void PlacementServer::handleNotice(const VmName &from, const v1::LoadNotice &notice, TimePoint now)
 {
-    m_board.takeNotice(from, notice, now);
-    m_limits.takeNotice(from, notice, !hasRequests(), now);
+    m_board.handleNotice(from, notice, now);
+    m_limits.handleNotice(from, notice, !hasRequests(), now);
     m_peers[from] = Peer{.heard = now, .entryVms = notice.entry_vms()};
     updateCoverage(now);
 }
--- a/src/placement/placementserver.h
+++ b/src/placement/placementserver.h
@@ -64,7 +64,7 @@
         m_fleetSize = std::max<std::uint32_t>(1, fleet.entry_vm_count());
     }
     /// What another data centre's server has given out.
-    void takeNotice(const VmName &from, const v1::LoadNotice &notice, TimePoint now);
+    void handleNotice(const VmName &from, const v1::LoadNotice &notice, TimePoint now);
     /// All that an entry VM has waiting and under way. Older than what came before: ignored.
     void takeState(const VmName &from, const v1::EntryState &state, TimePoint now);
     /// Gives out what there is room for, refuses what has waited too long, and returns the replies that are due.
--- a/src/placement/upstreampool.cpp
+++ b/src/placement/upstreampool.cpp
@@ -126,7 +126,7 @@
     });
 }
 
-void UpstreamBoard::takeNotice(const VmName &vm, const v1::LoadNotice &notice, TimePoint now)
+void UpstreamBoard::handleNotice(const VmName &vm, const v1::LoadNotice &notice, TimePoint now)
 {
     Peer &peer = m_peers[vm];
     if (notice.incarnation() == peer.incarnation && notice.sequence() <= peer.sequence) {
--- a/src/placement/upstreampool.h
+++ b/src/placement/upstreampool.h
@@ -72,7 +72,7 @@
         return m_listReadable;
     }
     /// What another placement server has given out. Older than what came before: ignored.
-    void takeNotice(const VmName &vm, const v1::LoadNotice &notice, TimePoint now);
+    void handleNotice(const VmName &vm, const v1::LoadNotice &notice, TimePoint now);
     /// Servers that have fallen silent have nothing in flight any more, or nobody knows what.
     void expireTimedOut(TimePoint now);
 
--- a/src/proxy/placementhost.cpp
+++ b/src/proxy/placementhost.cpp
@@ -207,7 +207,7 @@
         takeReply(from, datagram.reply());
         break;
     case v1::PlacementDatagram::kNotice:
-        m_server.takeNotice(from, datagram.notice(), EventLoop::now());
+        m_server.handleNotice(from, datagram.notice(), EventLoop::now());
         break;
     case v1::PlacementDatagram::BODY_NOT_SET:
         break;
--- a/tests/placement/fleetlimitstest.cpp
+++ b/tests/placement/fleetlimitstest.cpp
@@ -64,10 +64,10 @@
 TEST_CASE("what another server admitted is charged once")
 {
     FleetLimits limits = limitsOf(1000, 1);
-    limits.takeNotice(Other, noticeOf(3, 1, 5000), false, Start);
-    limits.takeNotice(Other, noticeOf(3, 3, 5300), false, Start);
-    limits.takeNotice(Other, noticeOf(3, 2, 5100), false, Start);
-    limits.takeNotice(Other, noticeOf(3, 3, 5300), false, Start);
+    limits.handleNotice(Other, noticeOf(3, 1, 5000), false, Start);
+    limits.handleNotice(Other, noticeOf(3, 3, 5300), false, Start);
+    limits.handleNotice(Other, noticeOf(3, 2, 5100), false, Start);
+    limits.handleNotice(Other, noticeOf(3, 3, 5300), false, Start);
     // Half of the burst, less 300.
     CHECK(admittedOf(limits, 100, 20, Start) == 200);
     CHECK(admittedOf(limits, 100, 20, after(500)) == 500);
@@ -78,9 +78,9 @@
 TEST_CASE("what a server admitted before it was first heard of is not charged")
 {
     FleetLimits limits = limitsOf(1000, 1, 100);
-    limits.takeNotice(Other, noticeOf(3, 1, 400'000), false, Start);
+    limits.handleNotice(Other, noticeOf(3, 1, 400'000), false, Start);
     CHECK(admittedOf(limits, 100, 20, Start) == 600);
-    limits.takeNotice(Other, noticeOf(3, 2, 400'300), false, after(1000));
+    limits.handleNotice(Other, noticeOf(3, 2, 400'300), false, after(1000));
     // A second's rate, less what the other server admitted since.
     CHECK(admittedOf(limits, 100, 20, after(1000)) == 700);
 }
@@ -90,8 +90,8 @@
 TEST_CASE("a restarted server's counts begin at zero and are charged whole")
 {
     FleetLimits limits = limitsOf(1000, 1);
-    limits.takeNotice(Other, noticeOf(3, 1, 5000), false, Start);
-    limits.takeNotice(Other, noticeOf(4, 1, 200), false, Start);
+    limits.handleNotice(Other, noticeOf(3, 1, 5000), false, Start);
+    limits.handleNotice(Other, noticeOf(4, 1, 200), false, Start);
     CHECK(admittedOf(limits, 100, 20, Start) == 300);
 }
 
@@ -142,7 +142,7 @@
     notice.set_sequence(1);
     before.writeNotice(notice, true, after(100));
     FleetLimits next = limitsOf(1000, 1);
-    next.takeNotice(Other, notice, true, after(100));
+    next.handleNotice(Other, notice, true, after(100));
     CHECK(admittedOf(next, 100, 20, after(100)) == 100);
 }
 
@@ -161,9 +161,9 @@
 TEST_CASE("what was given out too much is paid back, up to a second's rate")
 {
     FleetLimits limits = limitsOf(1000, 1);
-    limits.takeNotice(Other, noticeOf(3, 1, 0), false, Start);
+    limits.handleNotice(Other, noticeOf(3, 1, 0), false, Start);
     CHECK(admittedOf(limits, 100, 20, Start) == 500);
-    limits.takeNotice(Other, noticeOf(3, 2, 800), false, Start);
+    limits.handleNotice(Other, noticeOf(3, 2, 800), false, Start);
     CHECK(admittedOf(limits, 100, 20, after(750)) == 0);
     CHECK(admittedOf(limits, 100, 20, after(1000)) == 200);
 }
@@ -238,7 +238,7 @@
     };
     const auto tell = [&] {
         const v1::LoadNotice notice = next();
-        receiver.takeNotice(Other, notice, false, Start);
+        receiver.handleNotice(Other, notice, false, Start);
         return notice.spends_size();
     };
     CHECK(admittedOf(receiver, 100, 1, Start) == 100);
--- a/tests/placement/placementservertest.cpp
+++ b/tests/placement/placementservertest.cpp
@@ -331,9 +331,9 @@
     v1::LoadNotice notice;
     notice.set_incarnation(5);
     notice.set_sequence(1);
-    server.takeNotice(Vm1, notice, Start);
+    server.handleNotice(Vm1, notice, Start);
     notice.set_entry_vms(3);
-    server.takeNotice(Vm2, notice, Start);
+    server.handleNotice(Vm2, notice, Start);
     CHECK(server.activePeers(after(10)) == std::vector{Vm2});
     CHECK(server.activePeers(after(500)).empty());
 }
--- a/tests/placement/upstreampooltest.cpp
+++ b/tests/placement/upstreampooltest.cpp
@@ -51,20 +51,20 @@
 {
     UpstreamBoard board(Here);
     board.setList({instance("a"), instance("b")});
-    board.takeNotice(VmName{"vm-2"}, noticeOf(1, 1, "a", 2), Start);
+    board.handleNotice(VmName{"vm-2"}, noticeOf(1, 1, "a", 2), Start);
     CHECK(chosen(board, Start) == "b");
-    board.takeNotice(VmName{"vm-3"}, noticeOf(1, 1, "b", 2), Start);
+    board.handleNotice(VmName{"vm-3"}, noticeOf(1, 1, "b", 2), Start);
     CHECK(chosen(board, Start).empty());
     SECTION("a later notice of a VM replaces its earlier one and an overtaken one changes nothing")
     {
-        board.takeNotice(VmName{"vm-2"}, noticeOf(1, 3, "a", 1), Start);
-        board.takeNotice(VmName{"vm-2"}, noticeOf(1, 2, "a", 2), Start);
+        board.handleNotice(VmName{"vm-2"}, noticeOf(1, 3, "a", 1), Start);
+        board.handleNotice(VmName{"vm-2"}, noticeOf(1, 2, "a", 2), Start);
         CHECK(chosen(board, Start) == "a");
     }
     SECTION("a restarted VM counts its notices from one again")
     {
-        board.takeNotice(VmName{"vm-2"}, noticeOf(1, 9, "a", 2), Start);
-        board.takeNotice(VmName{"vm-2"}, noticeOf(2, 1, "a", 1), Start);
+        board.handleNotice(VmName{"vm-2"}, noticeOf(1, 9, "a", 2), Start);
+        board.handleNotice(VmName{"vm-2"}, noticeOf(2, 1, "a", 1), Start);
         CHECK(chosen(board, Start) == "a");
     }
     SECTION("a VM that fell silent holds no place for ever")
@@ -307,14 +307,14 @@
     SECTION("a load")
     {
         for (int i = 0; i < 16; ++i) {
-            receiver.takeNotice(vm, sender.next(), Start);
+            receiver.handleNotice(vm, sender.next(), Start);
         }
         CHECK(receiver.inFlight(name) == 1);
     }
     SECTION("the end of a load, lost both times that it was told")
     {
         for (int i = 0; i < 16; ++i) {
-            receiver.takeNotice(vm, sender.next(), Start);
+            receiver.handleNotice(vm, sender.next(), Start);
         }
         sender.board.ended(name);
         for (int i = 0; i < 16; ++i) {
@@ -322,7 +322,7 @@
         }
         CHECK(receiver.inFlight(name) == 1);
         for (int i = 0; i < 100; ++i) {
-            receiver.takeNotice(vm, sender.next(), Start);
+            receiver.handleNotice(vm, sender.next(), Start);
         }
         CHECK(receiver.inFlight(name) == 0);
     }
@@ -346,7 +346,7 @@
         for (int j = 0; j < 9; ++j) {
             sender.next();
         }
-        receiver.takeNotice(VmName{"vm-2"}, sender.next(true), Start);
+        receiver.handleNotice(VmName{"vm-2"}, sender.next(true), Start);
     }
     for (const UpstreamInstance &upstream : list) {
         CHECK(receiver.inFlight(upstream.name) == 1);
