--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -114,7 +114,7 @@
     void sendState(Vm &vm);
     void advanceSoon(Vm &vm);
     void advance(Vm &vm);
-    void takeReply(Vm &vm, const VmName &from, const v1::PlacementReply &reply);
+    void handleReply(Vm &vm, const VmName &from, const v1::PlacementReply &reply);
     void send(Run &run, const PlacementGranted &granted);
     void refused(Run &run, const PlacementRefused &refusal);
     std::uint32_t nextVm(std::uint32_t vm) const;
@@ -334,7 +334,7 @@
     for (auto &[to, reply] : vm.server->advance(m_now)) {
         Vm &asker = *std::ranges::find(m_vms, to, &Vm::name);
         const Duration delay = &asker == &vm ? Duration::zero() : LocalDelay;
-        at(m_now + delay, [this, &asker, from = vm.name, reply = std::move(reply)] { takeReply(asker, from, reply); });
+        at(m_now + delay, [this, &asker, from = vm.name, reply = std::move(reply)] { handleReply(asker, from, reply); });
     }
     if (vm.notices == 0) {
         notify(vm);
@@ -356,9 +356,9 @@
     at(m_now + NoticeInterval, [this, &from] { notify(from); });
 }
 
-void Rig::takeReply(Vm &vm, const VmName &from, const v1::PlacementReply &reply)
+void Rig::handleReply(Vm &vm, const VmName &from, const v1::PlacementReply &reply)
 {
-    for (const PlacementAnswer &answer : vm.client->takeReply(from, reply, m_now)) {
+    for (const PlacementAnswer &answer : vm.client->handleReply(from, reply, m_now)) {
         const PlacementId id = std::visit([](const auto &held) { return held.id; }, answer);
         Run &run = m_runs[vm.runs.at(id)];
         if (const auto *granted = std::get_if<PlacementGranted>(&answer)) {
--- a/src/placement/placementclient.cpp
+++ b/src/placement/placementclient.cpp
@@ -170,7 +170,7 @@
     }
 }
 
-std::vector<PlacementAnswer> PlacementClient::takeReply(const VmName &from, const v1::PlacementReply &reply, TimePoint now)
+std::vector<PlacementAnswer> PlacementClient::handleReply(const VmName &from, const v1::PlacementReply &reply, TimePoint now)
 {
     std::vector<PlacementAnswer> answers;
     if (from != server(now) || reply.incarnation() != m_incarnation) {
--- a/src/placement/placementclient.h
+++ b/src/placement/placementclient.h
@@ -106,7 +106,7 @@
     /// For a server that is asked no more.
     v1::EntryState departure();
     /// Answers of the VM that is asked now; others are ignored, so that its count of what it gave out stays right.
-    std::vector<PlacementAnswer> takeReply(const VmName &from, const v1::PlacementReply &reply, TimePoint now);
+    std::vector<PlacementAnswer> handleReply(const VmName &from, const v1::PlacementReply &reply, TimePoint now);
     /// True when the server has been silent for too long and another one is to be asked.
     bool passOverSilent(TimePoint now);
     std::size_t waiting() const
--- a/src/proxy/placementhost.cpp
+++ b/src/proxy/placementhost.cpp
@@ -204,7 +204,7 @@
         takeState(from, datagram.state());
         break;
     case v1::PlacementDatagram::kReply:
-        takeReply(from, datagram.reply());
+        handleReply(from, datagram.reply());
         break;
     case v1::PlacementDatagram::kNotice:
         m_server.handleNotice(from, datagram.notice(), EventLoop::now());
@@ -245,7 +245,7 @@
     m_feed.setFartherWanted(m_server.wantsFarther(now));
     for (auto &[vm, reply] : replies) {
         if (vm == m_options.vm) {
-            takeReply(vm, reply);
+            handleReply(vm, reply);
             continue;
         }
         reply.set_leaving(m_leaving);
@@ -258,9 +258,9 @@
     }
 }
 
-void PlacementHost::takeReply(const VmName &from, const v1::PlacementReply &reply)
+void PlacementHost::handleReply(const VmName &from, const v1::PlacementReply &reply)
 {
-    const std::vector<PlacementAnswer> answers = m_client.takeReply(from, reply, EventLoop::now());
+    const std::vector<PlacementAnswer> answers = m_client.handleReply(from, reply, EventLoop::now());
     for (const PlacementAnswer &answer : answers) {
         if (const auto *granted = std::get_if<PlacementGranted>(&answer)) {
             m_granted.emit(*granted);
--- a/tests/placement/placementclienttest.cpp
+++ b/tests/placement/placementclienttest.cpp
@@ -88,7 +88,7 @@
     const VmName first = client.server(Start);
     v1::PlacementReply reply = granting(id);
     reply.set_leaving(true);
-    CHECK(client.takeReply(first, reply, after(5)).size() == 1);
+    CHECK(client.handleReply(first, reply, after(5)).size() == 1);
     CHECK(client.server(after(5)) != first);
 }
 
@@ -101,16 +101,16 @@
     const PlacementId id = client.ask(draft(), Start);
     const VmName server = client.server(Start);
     const VmName other{server == VmName{"10.0.0.2"} ? "10.0.0.3" : "10.0.0.2"};
-    CHECK(client.takeReply(other, granting(id), after(1)).empty());
+    CHECK(client.handleReply(other, granting(id), after(1)).empty());
     v1::PlacementReply old = granting(id);
     old.set_incarnation(6);
-    CHECK(client.takeReply(server, old, after(1)).empty());
-    const auto answers = client.takeReply(server, granting(id), after(2));
+    CHECK(client.handleReply(server, old, after(1)).empty());
+    const auto answers = client.handleReply(server, granting(id), after(2));
     REQUIRE(answers.size() == 1);
     CHECK(std::get<PlacementGranted>(answers[0]).upstream.name == InstanceName{"engine-1"});
-    CHECK(client.takeReply(server, granting(id), after(3)).empty());
+    CHECK(client.handleReply(server, granting(id), after(3)).empty());
     client.ended(id, v1::PLACEMENT_SERVED, AnswerPace{.meanMs = 12, .longestMs = 40});
-    CHECK(client.takeReply(server, granting(id), after(4)).empty());
+    CHECK(client.handleReply(server, granting(id), after(4)).empty());
 }
 
 TEST_CASE("a state tells all that waits and is under way, and each end once")
@@ -118,7 +118,7 @@
     PlacementClient client(Self, Here, 7);
     const PlacementId sent = client.ask(draft(), Start);
     const PlacementId waiting = client.ask(draft(), Start);
-    client.takeReply(Self, granting(sent), after(1));
+    client.handleReply(Self, granting(sent), after(1));
     client.firstEvent(sent, std::chrono::milliseconds(60));
     const v1::EntryState first = client.state(after(100));
     REQUIRE(first.asks_size() == 1);
@@ -148,21 +148,21 @@
     reply.set_incarnation(7);
     reply.set_seen(client.state(Start).sequence());
     CHECK(client.state(Start).asks_size() == 1);
-    client.takeReply(server, reply, after(1));
+    client.handleReply(server, reply, after(1));
     const v1::EntryState confirmed = client.state(after(3));
     CHECK(confirmed.asks_size() == 0);
     REQUIRE(confirmed.unchanged_size() == 1);
     CHECK(confirmed.unchanged(0) == id.value);
     SECTION("granted")
     {
-        client.takeReply(server, granting(id), after(4));
+        client.handleReply(server, granting(id), after(4));
         CHECK(client.state(after(4)).placed_size() == 1);
     }
     SECTION("the server's process restarted, or forgot this VM")
     {
         reply.set_tell_all(true);
         reply.set_seen(client.state(after(4)).sequence());
-        client.takeReply(server, reply, after(4));
+        client.handleReply(server, reply, after(4));
         CHECK(client.state(after(4)).asks_size() == 1);
     }
     SECTION("another server")
@@ -178,7 +178,7 @@
     client.setCandidates(fleetOf({"10.0.0.1"}));
     const PlacementId id = client.ask(draft(), Start);
     client.state(Start);
-    REQUIRE(client.takeReply(client.server(Start), granting(id), Start).size() == 1);
+    REQUIRE(client.handleReply(client.server(Start), granting(id), Start).size() == 1);
     client.firstEvent(id, std::chrono::milliseconds(80));
     client.firstEvents(id, 19.5);
     const v1::EntryState state = client.state(after(100));
