--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -313,7 +313,7 @@
     Vm &server = serverOf(vm);
     const Duration delay = &server == &vm ? Duration::zero() : LocalDelay;
     at(m_now + delay, [this, &vm, &server, state = vm.client->state(m_now)] {
-        server.server->takeState(vm.name, state, m_now);
+        server.server->handleState(vm.name, state, m_now);
         advanceSoon(server);
     });
 }
--- a/src/placement/placementserver.cpp
+++ b/src/placement/placementserver.cpp
@@ -90,7 +90,7 @@
     m_limits.setCoverage(static_cast<double>(covered) / static_cast<double>(m_fleetSize), now);
 }
 
-void PlacementServer::takeState(const VmName &from, const v1::EntryState &state, TimePoint now)
+void PlacementServer::handleState(const VmName &from, const v1::EntryState &state, TimePoint now)
 {
     if (state.leaves()) {
         takeDeparture(from, state);
--- a/src/placement/placementserver.h
+++ b/src/placement/placementserver.h
@@ -66,7 +66,7 @@
     /// What another data centre's server has given out.
     void handleNotice(const VmName &from, const v1::LoadNotice &notice, TimePoint now);
     /// All that an entry VM has waiting and under way. Older than what came before: ignored.
-    void takeState(const VmName &from, const v1::EntryState &state, TimePoint now);
+    void handleState(const VmName &from, const v1::EntryState &state, TimePoint now);
     /// Gives out what there is room for, refuses what has waited too long, and returns the replies that are due.
     std::vector<Reply> advance(TimePoint now);
     /// Entry VMs that have fallen silent have nothing under way any more, or nobody knows what.
--- a/src/proxy/placementhost.cpp
+++ b/src/proxy/placementhost.cpp
@@ -154,7 +154,7 @@
         m_lastServer = server;
     }
     if (server == m_options.vm) {
-        takeState(server, m_client.state(now));
+        handleState(server, m_client.state(now));
         return;
     }
     v1::PlacementDatagram datagram;
@@ -165,7 +165,7 @@
 void PlacementHost::sendDeparture(const VmName &before)
 {
     if (before == m_options.vm) {
-        m_server.takeState(before, m_client.departure(), EventLoop::now());
+        m_server.handleState(before, m_client.departure(), EventLoop::now());
     } else if (!before.value.empty()) {
         v1::PlacementDatagram datagram;
         *datagram.mutable_state() = m_client.departure();
@@ -201,7 +201,7 @@
     const VmName from{host};
     switch (datagram.body_case()) {
     case v1::PlacementDatagram::kState:
-        takeState(from, datagram.state());
+        handleState(from, datagram.state());
         break;
     case v1::PlacementDatagram::kReply:
         handleReply(from, datagram.reply());
@@ -214,14 +214,14 @@
     }
 }
 
-void PlacementHost::takeState(const VmName &from, const v1::EntryState &state)
+void PlacementHost::handleState(const VmName &from, const v1::EntryState &state)
 {
     const TimePoint now = EventLoop::now();
     m_usedAt = now;
     if (!std::exchange(m_reading, true)) {
         m_feed.start();
     }
-    m_server.takeState(from, state, now);
+    m_server.handleState(from, state, now);
     advanceSoon();
 }
 
--- a/src/proxy/placementhost.h
+++ b/src/proxy/placementhost.h
@@ -63,7 +63,7 @@
 
     void setList(const InstanceList &list);
     void takeDatagram(const std::string &host, std::string_view bytes);
-    void takeState(const VmName &from, const v1::EntryState &state);
+    void handleState(const VmName &from, const v1::EntryState &state);
     void handleReply(const VmName &from, const v1::PlacementReply &reply);
     void send(const VmName &to, v1::PlacementDatagram &&datagram);
     void sendBytes(const VmName &to, const std::string &bytes);
--- a/tests/placement/placementservertest.cpp
+++ b/tests/placement/placementservertest.cpp
@@ -102,8 +102,8 @@
     one.asks(1);
     one.asks(2);
     two.asks(1);
-    server.takeState(Vm1, one.next(), Start);
-    server.takeState(Vm2, two.next(), Start);
+    server.handleState(Vm1, one.next(), Start);
+    server.handleState(Vm2, two.next(), Start);
     const auto replies = server.advance(Start);
     CHECK(grantedTo(Vm1, replies).size() + grantedTo(Vm2, replies).size() == 2);
     CHECK(server.waiting() == 1);
@@ -116,17 +116,17 @@
     Entry one;
     Entry two;
     one.asks(1, Routine);
-    server.takeState(Vm1, one.next(), Start);
+    server.handleState(Vm1, one.next(), Start);
     REQUIRE(grantedTo(Vm1, server.advance(Start)) == Ids{1});
     one.state.clear_asks();
     one.isSent(1, "a");
     one.asks(2, Routine);
     two.asks(5, Committee);
-    server.takeState(Vm1, one.next(), after(10));
-    server.takeState(Vm2, two.next(), after(20));
+    server.handleState(Vm1, one.next(), after(10));
+    server.handleState(Vm2, two.next(), after(20));
     REQUIRE(server.waiting() == 2);
     one.state.clear_placed();
-    server.takeState(Vm1, one.next(), after(30));
+    server.handleState(Vm1, one.next(), after(30));
     const auto replies = server.advance(after(30));
     CHECK(grantedTo(Vm2, replies) == Ids{5});
     CHECK(grantedTo(Vm1, replies).empty());
@@ -140,11 +140,11 @@
     server.setList({engine("a", 2)}, Start);
     Entry entry;
     entry.asks(1);
-    server.takeState(Vm1, entry.next(), Start);
+    server.handleState(Vm1, entry.next(), Start);
     REQUIRE(grantedTo(Vm1, server.advance(Start)) == Ids{1});
-    server.takeState(Vm1, entry.next(), after(5));
+    server.handleState(Vm1, entry.next(), after(5));
     CHECK(grantedTo(Vm1, server.advance(after(5))).empty());
-    server.takeState(Vm1, entry.next(), after(30));
+    server.handleState(Vm1, entry.next(), after(30));
     CHECK(grantedTo(Vm1, server.advance(after(30))) == Ids{1});
     v1::LoadNotice notice;
     server.writeNotice(notice, false, after(30));
@@ -160,25 +160,25 @@
     server.setList({engine("a", 1)}, Start);
     Entry entry;
     entry.asks(1);
-    server.takeState(Vm1, entry.next(), Start);
+    server.handleState(Vm1, entry.next(), Start);
     REQUIRE(grantedTo(Vm1, server.advance(Start)) == Ids{1});
     Entry other;
     other.asks(9);
-    server.takeState(Vm2, other.next(), Start);
+    server.handleState(Vm2, other.next(), Start);
     REQUIRE(grantedTo(Vm2, server.advance(after(1))).empty());
     SECTION("its caller left before the grant came")
     {
         entry.state.clear_asks();
-        server.takeState(Vm1, entry.next(), after(10));
+        server.handleState(Vm1, entry.next(), after(10));
     }
     SECTION("a new process tells its own state")
     {
         Entry restarted(8);
-        server.takeState(Vm1, restarted.next(), after(10));
+        server.handleState(Vm1, restarted.next(), after(10));
     }
     SECTION("silence")
     {
-        server.takeState(Vm2, other.next(), after(1600));
+        server.handleState(Vm2, other.next(), after(1600));
         server.expireTimedOut(after(1700));
     }
     CHECK(grantedTo(Vm2, server.advance(after(1700))) == Ids{9});
@@ -191,8 +191,8 @@
     Entry entry;
     const v1::EntryState empty = entry.next();
     entry.asks(1);
-    server.takeState(Vm1, entry.next(), Start);
-    server.takeState(Vm1, empty, Start);
+    server.handleState(Vm1, entry.next(), Start);
+    server.handleState(Vm1, empty, Start);
     CHECK(grantedTo(Vm1, server.advance(Start)) == Ids{1});
 }
 
@@ -206,10 +206,10 @@
     entry.isSent(1, "a");
     entry.isSent(2, "a");
     entry.asks(3);
-    server.takeState(Vm1, entry.next(), Start);
+    server.handleState(Vm1, entry.next(), Start);
     CHECK(grantedTo(Vm1, server.advance(Start)).empty());
     entry.state.mutable_placed()->RemoveLast();
-    server.takeState(Vm1, entry.next(), after(10));
+    server.handleState(Vm1, entry.next(), after(10));
     CHECK(grantedTo(Vm1, server.advance(after(10))) == Ids{3});
 }
 
@@ -221,7 +221,7 @@
     entry.isSent(1, "a");
     entry.asks(2, Committee);
     entry.asks(3, Routine);
-    server.takeState(Vm1, entry.next(), Start);
+    server.handleState(Vm1, entry.next(), Start);
     CHECK(refusals(server.advance(after(300))) == 0);
     // A start after 350 ms would be too late for an answer within 400.
     const auto replies = server.advance(after(351));
@@ -237,7 +237,7 @@
     Entry entry;
     entry.isSent(1, "a");
     entry.asks(2);
-    server.takeState(Vm1, entry.next(), Start);
+    server.handleState(Vm1, entry.next(), Start);
     server.advance(Start);
     CHECK(server.advance(after(10)).empty());
     CHECK(server.advance(after(40)).size() == 1);
@@ -261,7 +261,7 @@
         entry.state.mutable_asks()->rbegin()->set_cost(400);
     }
     // The first level is half of the burst: two pass, the second by an overdraft.
-    server.takeState(Vm1, entry.next(), Start);
+    server.handleState(Vm1, entry.next(), Start);
     const auto replies = server.advance(Start);
     CHECK(grantedTo(Vm1, replies) == Ids{1});
     REQUIRE(refusals(replies) == 1);
@@ -284,20 +284,20 @@
     Entry entry;
     entry.asks(1);
     entry.asks(2);
-    server.takeState(Vm1, entry.next(), Start);
+    server.handleState(Vm1, entry.next(), Start);
     REQUIRE(grantedTo(Vm1, server.advance(Start)) == Ids{1});
     entry.state.clear_asks();
     entry.state.add_unchanged(1);
     entry.state.add_unchanged(2);
-    server.takeState(Vm1, entry.next(), after(5));
+    server.handleState(Vm1, entry.next(), after(5));
     CHECK(grantedTo(Vm1, server.advance(after(5))).empty());
     CHECK(server.waiting() == 1);
     // The grant is told again, since the VM still waits.
-    server.takeState(Vm1, entry.next(), after(30));
+    server.handleState(Vm1, entry.next(), after(30));
     CHECK(grantedTo(Vm1, server.advance(after(30))) == Ids{1});
     entry.state.clear_unchanged();
     entry.state.add_unchanged(2);
-    server.takeState(Vm1, entry.next(), after(40));
+    server.handleState(Vm1, entry.next(), after(40));
     CHECK(grantedTo(Vm1, server.advance(after(40))) == Ids{2});
 }
 
@@ -309,7 +309,7 @@
     server.setList({engine("a", 1)}, Start);
     Entry entry;
     entry.asks(1);
-    server.takeState(Vm1, entry.next(), after(5000));
+    server.handleState(Vm1, entry.next(), after(5000));
     CHECK(grantedTo(Vm1, server.advance(after(5000))).empty());
     SECTION("the list is read")
     {
@@ -350,21 +350,21 @@
         Entry other;
         other.isSent(8, "a");
         other.isSent(9, "b");
-        server.takeState(Vm2, other.next(), Start);
+        server.handleState(Vm2, other.next(), Start);
         entry.asks(1);
-        server.takeState(Vm1, entry.next(), Start);
+        server.handleState(Vm1, entry.next(), Start);
         other.state.clear_placed();
-        server.takeState(Vm2, other.next(), Start);
+        server.handleState(Vm2, other.next(), Start);
     }
     SECTION("it was granted here, and the grant was lost")
     {
         entry.asks(1);
-        server.takeState(Vm1, entry.next(), Start);
+        server.handleState(Vm1, entry.next(), Start);
         REQUIRE(grantedTo(Vm1, server.advance(Start)) == Ids{1});
     }
     entry.state.clear_asks();
     entry.isSent(1, "b");
-    server.takeState(Vm1, entry.next(), after(20));
+    server.handleState(Vm1, entry.next(), after(20));
     CHECK(grantedTo(Vm1, server.advance(after(20))).empty());
     v1::LoadNotice notice;
     server.writeNotice(notice, false, after(20));
@@ -372,7 +372,7 @@
     CHECK(notice.loads(0).upstream() == "b");
     CHECK(notice.loads(0).in_flight() == 1);
     entry.state.clear_placed();
-    server.takeState(Vm1, entry.next(), after(30));
+    server.handleState(Vm1, entry.next(), after(30));
     v1::LoadNotice later;
     server.writeNotice(later, false, after(30));
     REQUIRE(later.loads_size() == 1);
@@ -389,18 +389,18 @@
     server.setList({engine("a", 1)}, Start);
     Entry entry;
     entry.asks(1);
-    server.takeState(Vm1, entry.next(), Start);
+    server.handleState(Vm1, entry.next(), Start);
     CHECK_FALSE(server.advance(Start).front().second.tell_all());
     server.expireTimedOut(after(1600));
     entry.state.clear_asks();
     entry.state.add_unchanged(1);
-    server.takeState(Vm1, entry.next(), after(1700));
+    server.handleState(Vm1, entry.next(), after(1700));
     const auto replies = server.advance(after(1700));
     REQUIRE(replies.size() == 1);
     CHECK(replies.front().second.tell_all());
     entry.state.clear_unchanged();
     entry.asks(1);
-    server.takeState(Vm1, entry.next(), after(1710));
+    server.handleState(Vm1, entry.next(), after(1710));
     const auto told = server.advance(after(1710));
     CHECK(grantedTo(Vm1, told) == Ids{1});
     CHECK_FALSE(told.front().second.tell_all());
@@ -423,9 +423,9 @@
     entry.asks(2);
     entry.state.mutable_asks()->rbegin()->set_organisation("ensemble");
     entry.state.mutable_asks()->rbegin()->set_cost(400);
-    server.takeState(Vm1, entry.next(), Start);
+    server.handleState(Vm1, entry.next(), Start);
     entry.state.clear_asks();
-    server.takeState(Vm1, entry.next(), after(10));
+    server.handleState(Vm1, entry.next(), after(10));
     v1::LoadNotice notice;
     server.writeNotice(notice, false, after(10));
     REQUIRE(notice.spends_size() == 1);
@@ -441,7 +441,7 @@
     Entry entry;
     entry.asks(1);
     entry.asks(2);
-    server.takeState(Vm1, entry.next(), Start);
+    server.handleState(Vm1, entry.next(), Start);
     REQUIRE(grantedTo(Vm1, server.advance(Start)).size() == 2);
     v1::EntryState departure;
     departure.set_incarnation(7);
@@ -449,24 +449,24 @@
     SECTION("at once")
     {
         departure.set_sequence(2);
-        server.takeState(Vm1, departure, after(1));
+        server.handleState(Vm1, departure, after(1));
         CHECK_FALSE(server.hasRequests());
         Entry other;
         other.asks(5);
-        server.takeState(Vm2, other.next(), after(2));
+        server.handleState(Vm2, other.next(), after(2));
         CHECK(grantedTo(Vm2, server.advance(after(2))) == Ids{5});
     }
     SECTION("but not by one that was sent before it came back")
     {
         departure.set_sequence(1);
-        server.takeState(Vm1, departure, after(1));
+        server.handleState(Vm1, departure, after(1));
         CHECK(server.hasRequests());
     }
     SECTION("nor by one of the process before")
     {
         departure.set_sequence(9);
         departure.set_incarnation(6);
-        server.takeState(Vm1, departure, after(1));
+        server.handleState(Vm1, departure, after(1));
         CHECK(server.hasRequests());
     }
 }
@@ -482,7 +482,7 @@
     entry.asks(2);
     entry.state.mutable_asks()->rbegin()->set_objective_in_ms(-50);
     entry.asks(3);
-    server.takeState(Vm1, entry.next(), Start);
+    server.handleState(Vm1, entry.next(), Start);
     const auto replies = server.advance(Start);
     REQUIRE(refusals(replies) == 1);
     CHECK(replies.front().second.refusals(0).id() == 2);
@@ -493,7 +493,7 @@
         entry.state.clear_asks();
         entry.asks(4);
         entry.state.mutable_asks()->rbegin()->set_objective_in_ms(-50);
-        server.takeState(Vm1, entry.next(), after(10));
+        server.handleState(Vm1, entry.next(), after(10));
         CHECK(grantedTo(Vm1, server.advance(after(10))) == Ids{4});
     }
 }
@@ -512,11 +512,11 @@
         placed.set_id(id);
         placed.set_upstream("a");
         placed.set_prompt_tokens(static_cast<std::uint32_t>(1000 * id));
-        server.takeState(Vm1, entry.next(), Start);
+        server.handleState(Vm1, entry.next(), Start);
     }
     entry.asks(50);
     entry.state.mutable_asks()->rbegin()->set_prompt_tokens(4'000'000);
-    server.takeState(Vm1, entry.next(), Start);
+    server.handleState(Vm1, entry.next(), Start);
     CHECK(refusals(server.advance(after(190))) == 0);
     CHECK(refusals(server.advance(after(400))) == 1);
 }
@@ -527,7 +527,7 @@
     server.setList({engine("a", 2)}, Start);
     Entry entry;
     entry.asks(1);
-    server.takeState(Vm1, entry.next(), Start);
+    server.handleState(Vm1, entry.next(), Start);
     const auto first = server.advance(Start);
     REQUIRE(grantedTo(Vm1, first) == Ids{1});
     CHECK(first.front().second.grants(0).pace_wanted());
@@ -535,7 +535,7 @@
     entry.isSent(1, "a");
     entry.state.mutable_placed(0)->set_early_pace_ms(12);
     entry.asks(2);
-    server.takeState(Vm1, entry.next(), after(50));
+    server.handleState(Vm1, entry.next(), after(50));
     const auto second = server.advance(after(50));
     REQUIRE(grantedTo(Vm1, second) == Ids{2});
     CHECK_FALSE(second.front().second.grants(0).pace_wanted());
