--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -304,7 +304,7 @@
     if (std::exchange(vm.stateDue, true)) {
         return;
     }
-    at(m_now + StateDelay + static_cast<int>(vm.client->waiting()) * StateDelayPerWaiting, [this, &vm] { sendState(vm); });
+    at(m_now + StateDelay + static_cast<int>(vm.client->waitingCount()) * StateDelayPerWaiting, [this, &vm] { sendState(vm); });
 }
 
 void Rig::sendState(Vm &vm)
@@ -323,7 +323,7 @@
     if (std::exchange(vm.advanceDue, true)) {
         return;
     }
-    const Duration interval = AdvanceInterval + static_cast<int>(vm.server->waiting()) * AdvanceIntervalPerWaiting;
+    const Duration interval = AdvanceInterval + static_cast<int>(vm.server->waitingCount()) * AdvanceIntervalPerWaiting;
     at(std::max(m_now, vm.advanced + interval), [this, &vm] { advance(vm); });
 }
 
--- a/src/placement/placementclient.h
+++ b/src/placement/placementclient.h
@@ -109,7 +109,7 @@
     std::vector<PlacementAnswer> handleReply(const VmName &from, const v1::PlacementReply &reply, TimePoint now);
     /// True when the server has been silent for too long and another one is to be asked.
     bool passOverSilent(TimePoint now);
-    std::size_t waiting() const
+    std::size_t waitingCount() const
     {
         return m_waiting;
     }
--- a/src/placement/placementserver.cpp
+++ b/src/placement/placementserver.cpp
@@ -333,13 +333,13 @@
     return std::ranges::any_of(m_entries, [](const auto &held) { return !held.second.items.empty(); });
 }
 
-std::size_t PlacementServer::waiting() const
+std::size_t PlacementServer::waitingCount() const
 {
-    std::size_t waiting = 0;
+    std::size_t waitingCount = 0;
     for (const auto &[name, service] : m_services) {
-        waiting += service.line.size();
+        waitingCount += service.line.size();
     }
-    return waiting;
+    return waitingCount;
 }
 
 Placement PlacementServer::place(const Item &item, TimePoint now) const
--- a/src/placement/placementserver.h
+++ b/src/placement/placementserver.h
@@ -77,7 +77,7 @@
     /// Some entry VM has something here.
     bool hasRequests() const;
     /// How many wait for room.
-    std::size_t waiting() const;
+    std::size_t waitingCount() const;
     /// What was given out here; for a VM that may have to take over, with what was learned.
     void writeNotice(v1::LoadNotice &notice, bool forBackup, TimePoint now);
 
--- a/src/placement/requestqueue.h
+++ b/src/placement/requestqueue.h
@@ -54,12 +54,12 @@
             ordered.insert(ordered.end(), late.begin(), late.end());
             late.clear();
         };
-        for (const auto &[place, waiting] : m_waiting) {
+        for (const auto &[place, waitingCount] : m_waiting) {
             if (rank != place.rank) {
                 addLate();
                 rank = place.rank;
             }
-            (place.latestStart < now ? late : ordered).push_back(waiting.request);
+            (place.latestStart < now ? late : ordered).push_back(waitingCount.request);
         }
         addLate();
         return ordered;
@@ -70,12 +70,12 @@
     {
         std::vector<Key> overdue;
         std::optional<WaitingRank> highest;
-        for (const auto &[place, waiting] : m_waiting) {
+        for (const auto &[place, waitingCount] : m_waiting) {
             const bool below = highest && *highest < place.rank;
-            if (now < waiting.giveUpAt && !below) {
+            if (now < waitingCount.giveUpAt && !below) {
                 continue;
             }
-            overdue.push_back(waiting.request);
+            overdue.push_back(waitingCount.request);
             highest = highest ? highest : place.rank;
         }
         for (const Key &request : overdue) {
--- a/src/proxy/placementhost.cpp
+++ b/src/proxy/placementhost.cpp
@@ -138,7 +138,7 @@
 void PlacementHost::stateChanged()
 {
     if (!std::exchange(m_stateDue, true)) {
-        m_stateTimer.startOnce(StateDelay + static_cast<int>(m_client.waiting()) * StateDelayPerWaiting);
+        m_stateTimer.startOnce(StateDelay + static_cast<int>(m_client.waitingCount()) * StateDelayPerWaiting);
     }
     m_tick.startOnceIfStopped(TickInterval);
 }
@@ -231,7 +231,7 @@
     if (std::exchange(m_advanceDue, true)) {
         return;
     }
-    const Duration interval = ShortestAdvanceInterval + static_cast<int>(m_server.waiting()) * AdvanceIntervalPerWaiting;
+    const Duration interval = ShortestAdvanceInterval + static_cast<int>(m_server.waitingCount()) * AdvanceIntervalPerWaiting;
     const Duration since = EventLoop::now() - m_advanced;
     m_advanceTimer.startOnce(std::max(Duration::zero(), interval - since));
 }
--- a/tests/placement/placementclienttest.cpp
+++ b/tests/placement/placementclienttest.cpp
@@ -117,12 +117,12 @@
 {
     PlacementClient client(Self, Here, 7);
     const PlacementId sent = client.ask(draft(), Start);
-    const PlacementId waiting = client.ask(draft(), Start);
+    const PlacementId waitingCount = client.ask(draft(), Start);
     client.handleReply(Self, granting(sent), after(1));
     client.firstEvent(sent, std::chrono::milliseconds(60));
     const v1::EntryState first = client.state(after(100));
     REQUIRE(first.asks_size() == 1);
-    CHECK(first.asks(0).id() == waiting.value);
+    CHECK(first.asks(0).id() == waitingCount.value);
     CHECK(first.asks(0).objective_in_ms() == 300);
     REQUIRE(first.placed_size() == 1);
     CHECK(first.placed(0).upstream() == "engine-1");
--- a/tests/placement/placementservertest.cpp
+++ b/tests/placement/placementservertest.cpp
@@ -106,7 +106,7 @@
     server.handleState(Vm2, two.next(), Start);
     const auto replies = server.advance(Start);
     CHECK(grantedTo(Vm1, replies).size() + grantedTo(Vm2, replies).size() == 2);
-    CHECK(server.waiting() == 1);
+    CHECK(server.waitingCount() == 1);
 }
 
 TEST_CASE("a place that becomes free goes to the most urgent request of all VMs")
@@ -124,7 +124,7 @@
     two.asks(5, Committee);
     server.handleState(Vm1, one.next(), after(10));
     server.handleState(Vm2, two.next(), after(20));
-    REQUIRE(server.waiting() == 2);
+    REQUIRE(server.waitingCount() == 2);
     one.state.clear_placed();
     server.handleState(Vm1, one.next(), after(30));
     const auto replies = server.advance(after(30));
@@ -291,7 +291,7 @@
     entry.state.add_unchanged(2);
     server.handleState(Vm1, entry.next(), after(5));
     CHECK(grantedTo(Vm1, server.advance(after(5))).empty());
-    CHECK(server.waiting() == 1);
+    CHECK(server.waitingCount() == 1);
     // The grant is told again, since the VM still waits.
     server.handleState(Vm1, entry.next(), after(30));
     CHECK(grantedTo(Vm1, server.advance(after(30))) == Ids{1});
@@ -486,7 +486,7 @@
     const auto replies = server.advance(Start);
     REQUIRE(refusals(replies) == 1);
     CHECK(replies.front().second.refusals(0).id() == 2);
-    CHECK(server.waiting() == 1);
+    CHECK(server.waitingCount() == 1);
     SECTION("it takes one that is free now")
     {
         entry.state.clear_placed();
