--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -455,7 +455,7 @@
     }
     if (run.events == 0) {
         run.firstEventAt = event.at;
-        vmOf(run).client->firstEvent(run.place, event.at - run.sentAt);
+        vmOf(run).client->recordFirstEvent(run.place, event.at - run.sentAt);
         stateChanged(vmOf(run));
     } else {
         run.longestPause = std::max(run.longestPause, event.at - run.lastEventAt);
--- a/src/placement/placementclient.cpp
+++ b/src/placement/placementclient.cpp
@@ -63,7 +63,7 @@
     return id;
 }
 
-void PlacementClient::firstEvent(PlacementId id, Duration after)
+void PlacementClient::recordFirstEvent(PlacementId id, Duration after)
 {
     if (const auto held = m_held.find(id); held != m_held.end()) {
         held->second.firstEventMs = static_cast<std::uint32_t>(std::max<std::int64_t>(1, wholeMilliseconds(after)));
--- a/src/placement/placementclient.h
+++ b/src/placement/placementclient.h
@@ -95,7 +95,7 @@
 
     PlacementId ask(SlotRequest wish, TimePoint now);
     /// It was granted, and its first event came so long after the sending.
-    void firstEvent(PlacementId id, Duration after);
+    void recordFirstEvent(PlacementId id, Duration after);
     /// Milliseconds between its first events, where the grant asked for that.
     void firstEvents(PlacementId id, double paceMs);
     /// The sending ended, or the request needs none any more.
--- a/src/proxy/placementhost.cpp
+++ b/src/proxy/placementhost.cpp
@@ -82,9 +82,9 @@
     return id;
 }
 
-void PlacementHost::firstEvent(PlacementId id, Duration after)
+void PlacementHost::recordFirstEvent(PlacementId id, Duration after)
 {
-    m_client.firstEvent(id, after);
+    m_client.recordFirstEvent(id, after);
     stateChanged();
 }
 
--- a/src/proxy/placementhost.h
+++ b/src/proxy/placementhost.h
@@ -37,7 +37,7 @@
     /// Answered by granted or refused, unless it is ended before.
     PlacementId ask(SlotRequest wish);
     /// See PlacementClient.
-    void firstEvent(PlacementId id, Duration after);
+    void recordFirstEvent(PlacementId id, Duration after);
     void firstEvents(PlacementId id, double paceMs);
     void ended(PlacementId id, v1::PlacementOutcome outcome, const AnswerPace &pace);
     /// Emitted for what was asked for here.
--- a/src/proxy/proxyanswers.cpp
+++ b/src/proxy/proxyanswers.cpp
@@ -236,7 +236,7 @@
 {
     if (request.eventBatches == 0) {
         request.firstEventAt = now;
-        m_placement->firstEvent(request.place, now - request.sentAt);
+        m_placement->recordFirstEvent(request.place, now - request.sentAt);
     } else {
         request.longestPause = std::max(request.longestPause, now - request.lastEventAt);
     }
--- a/tests/placement/placementclienttest.cpp
+++ b/tests/placement/placementclienttest.cpp
@@ -119,7 +119,7 @@
     const PlacementId sent = client.ask(draft(), Start);
     const PlacementId waitingCount = client.ask(draft(), Start);
     client.handleReply(Self, granting(sent), after(1));
-    client.firstEvent(sent, std::chrono::milliseconds(60));
+    client.recordFirstEvent(sent, std::chrono::milliseconds(60));
     const v1::EntryState first = client.state(after(100));
     REQUIRE(first.asks_size() == 1);
     CHECK(first.asks(0).id() == waitingCount.value);
@@ -179,7 +179,7 @@
     const PlacementId id = client.ask(draft(), Start);
     client.state(Start);
     REQUIRE(client.handleReply(client.server(Start), granting(id), Start).size() == 1);
-    client.firstEvent(id, std::chrono::milliseconds(80));
+    client.recordFirstEvent(id, std::chrono::milliseconds(80));
     client.firstEvents(id, 19.5);
     const v1::EntryState state = client.state(after(100));
     REQUIRE(state.placed_size() == 1);
