--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -463,7 +463,7 @@
     run.lastEventAt = event.at;
     ++run.events;
     if (run.events == EventsToTellPace && run.paceWanted) {
-        vmOf(run).client->firstEvents(run.place, paceOf(run).meanMs);
+        vmOf(run).client->recordEarlyPace(run.place, paceOf(run).meanMs);
         stateChanged(vmOf(run));
     }
     if (!finished) {
--- a/src/placement/placementclient.cpp
+++ b/src/placement/placementclient.cpp
@@ -71,7 +71,7 @@
     }
 }
 
-void PlacementClient::firstEvents(PlacementId id, double paceMs)
+void PlacementClient::recordEarlyPace(PlacementId id, double paceMs)
 {
     if (const auto held = m_held.find(id); held != m_held.end()) {
         held->second.earlyPaceMs = paceMs;
--- a/src/placement/placementclient.h
+++ b/src/placement/placementclient.h
@@ -52,7 +52,7 @@
     UpstreamInstance upstream;
     /// What the choice was made from, for the log.
     std::string inputs;
-    /// See PlacementClient::firstEvents.
+    /// See PlacementClient::recordEarlyPace.
     bool paceWanted = false;
 };
 
@@ -97,7 +97,7 @@
     /// It was granted, and its first event came so long after the sending.
     void recordFirstEvent(PlacementId id, Duration after);
     /// Milliseconds between its first events, where the grant asked for that.
-    void firstEvents(PlacementId id, double paceMs);
+    void recordEarlyPace(PlacementId id, double paceMs);
     /// The sending ended, or the request needs none any more.
     void ended(PlacementId id, v1::PlacementOutcome outcome, const AnswerPace &pace);
 
--- a/src/proxy/placementhost.cpp
+++ b/src/proxy/placementhost.cpp
@@ -88,9 +88,9 @@
     stateChanged();
 }
 
-void PlacementHost::firstEvents(PlacementId id, double paceMs)
+void PlacementHost::recordEarlyPace(PlacementId id, double paceMs)
 {
-    m_client.firstEvents(id, paceMs);
+    m_client.recordEarlyPace(id, paceMs);
     stateChanged();
 }
 
--- a/src/proxy/placementhost.h
+++ b/src/proxy/placementhost.h
@@ -38,7 +38,7 @@
     PlacementId ask(SlotRequest wish);
     /// See PlacementClient.
     void recordFirstEvent(PlacementId id, Duration after);
-    void firstEvents(PlacementId id, double paceMs);
+    void recordEarlyPace(PlacementId id, double paceMs);
     void ended(PlacementId id, v1::PlacementOutcome outcome, const AnswerPace &pace);
     /// Emitted for what was asked for here.
     sigc::signal<void, const PlacementGranted &> &granted()
--- a/src/proxy/proxyanswers.cpp
+++ b/src/proxy/proxyanswers.cpp
@@ -243,7 +243,7 @@
     request.lastEventAt = now;
     ++request.eventBatches;
     if (request.eventBatches == EventsToTellPace && request.paceWanted) {
-        m_placement->firstEvents(request.place, paceOf(request, now).meanMs);
+        m_placement->recordEarlyPace(request.place, paceOf(request, now).meanMs);
     }
 }
 
--- a/tests/placement/placementclienttest.cpp
+++ b/tests/placement/placementclienttest.cpp
@@ -180,7 +180,7 @@
     client.state(Start);
     REQUIRE(client.handleReply(client.server(Start), granting(id), Start).size() == 1);
     client.recordFirstEvent(id, std::chrono::milliseconds(80));
-    client.firstEvents(id, 19.5);
+    client.recordEarlyPace(id, 19.5);
     const v1::EntryState state = client.state(after(100));
     REQUIRE(state.placed_size() == 1);
     CHECK(state.placed(0).first_event_ms() == 80);
