--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -291,7 +291,7 @@
             .tried = {},
             .organisation = request.organisation->name,
             .cost = request.prompt + request.answer,
-            .longestPauseMs = static_cast<std::uint32_t>(wholeMilliseconds(request.route->longestPause)),
+            .maxPauseMs = static_cast<std::uint32_t>(wholeMilliseconds(request.route->longestPause)),
             .expectedEvents = (request.expectedAnswer + m_load.tokensPerEvent - 1) / m_load.tokensPerEvent,
         },
         m_now);
--- a/src/placement/placementclient.cpp
+++ b/src/placement/placementclient.cpp
@@ -163,7 +163,7 @@
     ask.set_draw_permille(held.wish.draw);
     ask.set_organisation(held.wish.organisation.value);
     ask.set_cost(held.wish.cost);
-    ask.set_longest_pause_ms(held.wish.longestPauseMs);
+    ask.set_longest_pause_ms(held.wish.maxPauseMs);
     ask.set_expected_events(held.wish.expectedEvents);
     for (const InstanceName &tried : held.wish.tried) {
         ask.add_tried(tried.value);
--- a/src/placement/placementclient.h
+++ b/src/placement/placementclient.h
@@ -31,7 +31,7 @@
     OrganisationName organisation;
     std::uint64_t cost = 0;
     /// Milliseconds between events, for an answer on time; 0: none is set.
-    std::uint32_t longestPauseMs = 0;
+    std::uint32_t maxPauseMs = 0;
     /// Events that the answer is likely to have; 0: not known.
     std::uint32_t expectedEvents = 0;
 };
--- a/src/placement/placementserver.cpp
+++ b/src/placement/placementserver.cpp
@@ -194,7 +194,7 @@
         .draw = ask.draw_permille(),
         .organisation = ask.organisation(),
         .cost = ask.cost(),
-        .longestPauseMs = static_cast<double>(ask.longest_pause_ms()),
+        .maxPauseMs = static_cast<double>(ask.longest_pause_ms()),
         .expectedEvents = ask.expected_events(),
         .answerBy = now + std::chrono::milliseconds(ask.answer_in_ms()),
         .tried = {},
@@ -349,7 +349,7 @@
         .versions = {},
         .promptTokens = item.promptTokens,
         .tried = item.tried,
-        .longestPauseMs = item.longestPauseMs,
+        .maxPauseMs = item.maxPauseMs,
         .expectedEvents = item.expectedEvents,
         .answerWithin = item.answerBy - now,
     };
--- a/src/placement/placementserver.h
+++ b/src/placement/placementserver.h
@@ -103,7 +103,7 @@
         std::uint32_t draw = 0;
         std::string organisation;
         std::uint64_t cost = 0;
-        double longestPauseMs = 0;
+        double maxPauseMs = 0;
         std::uint32_t expectedEvents = 0;
         TimePoint answerBy;
         std::set<InstanceName> tried;
--- a/src/placement/upstreampool.cpp
+++ b/src/placement/upstreampool.cpp
@@ -240,13 +240,13 @@
     const auto engine = m_engines.find(upstream.instance.service);
     const auto pauses = m_pauses.find(upstream.instance.service);
     const bool alone = upstream.own.requests + upstream.others.requests == 0;
-    if (query.longestPauseMs <= 0 || alone || upstream.paceMs <= 0 || engine == m_engines.end() || pauses == m_pauses.end()) {
+    if (query.maxPauseMs <= 0 || alone || upstream.paceMs <= 0 || engine == m_engines.end() || pauses == m_pauses.end()) {
         return false;
     }
     const double unread = static_cast<double>(upstream.own.tokens + upstream.others.tokens + query.promptTokens);
     const double reading = engine->second.readingMs(unread, upstream.paceMs / fastest);
     const double most = std::max(pauses->second.ratio() - 1, 0.0) * upstream.paceMs;
-    return upstream.paceMs + std::min(reading, most) > PausePart * query.longestPauseMs;
+    return upstream.paceMs + std::min(reading, most) > PausePart * query.maxPauseMs;
 }
 
 Placement UpstreamBoard::choose(const PlacementQuery &query, TimePoint now) const
--- a/src/placement/upstreampool.h
+++ b/src/placement/upstreampool.h
@@ -31,7 +31,7 @@
     /// Tried before for this request.
     std::set<InstanceName> tried;
     /// The longest pause between events with which an answer is still on time; 0: none is set.
-    double longestPauseMs = 0;
+    double maxPauseMs = 0;
     /// Events that the answer is likely to have; 0: not known.
     std::uint32_t expectedEvents = 0;
     /// How long until no answer is of use any more; zero: for ever.
--- a/src/proxy/proxyplacement.cpp
+++ b/src/proxy/proxyplacement.cpp
@@ -28,7 +28,7 @@
         // A further try of a request is not charged again.
         .organisation = request.tried.empty() ? order.organisation : OrganisationName{},
         .cost = order.cost,
-        .longestPauseMs = order.route->pause_objective_ms(),
+        .maxPauseMs = order.route->pause_objective_ms(),
         .expectedEvents = order.expectedEvents,
     });
     m_places[request.place] = request.local;
--- a/tests/placement/upstreampooltest.cpp
+++ b/tests/placement/upstreampooltest.cpp
@@ -160,7 +160,7 @@
     board.sent(InstanceName{"fast"}, 0);
     board.sent(InstanceName{"slow"}, 0);
     const auto query = [](std::uint32_t promptTokens) {
-        return PlacementQuery{.service = ServiceName{"drafts"}, .versions = {}, .promptTokens = promptTokens, .tried = {}, .longestPauseMs = 200};
+        return PlacementQuery{.service = ServiceName{"drafts"}, .versions = {}, .promptTokens = promptTokens, .tried = {}, .maxPauseMs = 200};
     };
     CHECK(chosen(board, Start, query(20'000)) == "fast");
     board.sent(InstanceName{"fast"}, 0);
