--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -66,7 +66,7 @@
         return {};
     }
     return AnswerPace{.meanMs = static_cast<double>(wholeMilliseconds(run.lastEventAt - run.firstEventAt)) / (run.events - 1),
-                      .longestMs = static_cast<std::uint32_t>(wholeMilliseconds(run.longestPause))};
+                      .longestPauseMs = static_cast<std::uint32_t>(wholeMilliseconds(run.longestPause))};
 }
 
 class Rig
--- a/src/placement/pauseratioestimator.cpp
+++ b/src/placement/pauseratioestimator.cpp
@@ -17,12 +17,12 @@
 }
 
 /// A quantile by stochastic approximation: up by Part for each stream above it, down by the rest for each below.
-void StreamPauses::observed(double meanMs, double longestMs)
+void StreamPauses::observed(double meanMs, double longestPauseMs)
 {
-    if (meanMs <= 0 || longestMs < meanMs) {
+    if (meanMs <= 0 || longestPauseMs < meanMs) {
         return;
     }
-    const double ratio = longestMs / meanMs;
+    const double ratio = longestPauseMs / meanMs;
     m_seen = std::min(m_seen + 1, LeastSeen);
     if (m_ratio == 0) {
         m_ratio = ratio;
--- a/src/placement/pauseratioestimator.h
+++ b/src/placement/pauseratioestimator.h
@@ -10,7 +10,7 @@
 class StreamPauses
 {
 public:
-    void observed(double meanMs, double longestMs);
+    void observed(double meanMs, double longestPauseMs);
     /// Four of five streams stay below it; 0 while too few were seen.
     double ratio() const;
 
--- a/src/placement/placementclient.cpp
+++ b/src/placement/placementclient.cpp
@@ -91,7 +91,7 @@
         ended.set_upstream(held->second.upstream.value);
         ended.set_outcome(outcome);
         ended.set_pace_ms(pace.meanMs);
-        ended.set_longest_pause_ms(pace.longestMs);
+        ended.set_longest_pause_ms(pace.longestPauseMs);
     } else {
         --m_waiting;
     }
--- a/src/placement/placementclient.h
+++ b/src/placement/placementclient.h
@@ -42,7 +42,7 @@
     /// Milliseconds between events of a stream, or to a plain answer's end; 0: unknown.
     double meanMs = 0;
     /// Milliseconds of the longest pause between two events; 0: unknown.
-    std::uint32_t longestMs = 0;
+    std::uint32_t longestPauseMs = 0;
 };
 
 /// The request may be sent to this upstream, now.
--- a/src/placement/upstreampool.cpp
+++ b/src/placement/upstreampool.cpp
@@ -371,10 +371,10 @@
     return found != m_upstreams.end() && found->second.paceMs > 0;
 }
 
-void UpstreamBoard::observedPauses(const InstanceName &name, double meanMs, double longestMs)
+void UpstreamBoard::observedPauses(const InstanceName &name, double meanMs, double longestPauseMs)
 {
     if (const Upstream *upstream = find(name)) {
-        m_pauses[upstream->instance.service].observed(meanMs, longestMs);
+        m_pauses[upstream->instance.service].observed(meanMs, longestPauseMs);
     }
 }
 
--- a/src/placement/upstreampool.h
+++ b/src/placement/upstreampool.h
@@ -93,7 +93,7 @@
     void observedEarlyPace(const InstanceName &name, double milliseconds);
     bool knowsPace(const InstanceName &name) const;
     /// The mean and the longest pause between the events of a stream.
-    void observedPauses(const InstanceName &name, double meanMs, double longestMs);
+    void observedPauses(const InstanceName &name, double meanMs, double longestPauseMs);
     /// A first event, and the tokens that were to be read for it when the request was sent.
     void observedFirstEvent(const InstanceName &name, double tokens, double milliseconds);
     /// Tokens that an upstream has to read before a new prompt.
--- a/src/proxy/proxyanswers.cpp
+++ b/src/proxy/proxyanswers.cpp
@@ -61,7 +61,7 @@
 {
     if (request.eventBatches > 1) {
         return AnswerPace{.meanMs = static_cast<double>(wholeMilliseconds(request.lastEventAt - request.firstEventAt)) / (request.eventBatches - 1),
-                          .longestMs = static_cast<std::uint32_t>(wholeMilliseconds(request.longestPause))};
+                          .longestPauseMs = static_cast<std::uint32_t>(wholeMilliseconds(request.longestPause))};
     }
     return AnswerPace{.meanMs = request.isStream() ? 0 : static_cast<double>(wholeMilliseconds(now - request.sentAt))};
 }
--- a/tests/placement/placementclienttest.cpp
+++ b/tests/placement/placementclienttest.cpp
@@ -109,7 +109,7 @@
     REQUIRE(answers.size() == 1);
     CHECK(std::get<PlacementGranted>(answers[0]).upstream.name == InstanceName{"engine-1"});
     CHECK(client.handleReply(server, granting(id), after(3)).empty());
-    client.ended(id, v1::PLACEMENT_SERVED, AnswerPace{.meanMs = 12, .longestMs = 40});
+    client.ended(id, v1::PLACEMENT_SERVED, AnswerPace{.meanMs = 12, .longestPauseMs = 40});
     CHECK(client.handleReply(server, granting(id), after(4)).empty());
 }
 
@@ -127,7 +127,7 @@
     REQUIRE(first.placed_size() == 1);
     CHECK(first.placed(0).upstream() == "engine-1");
     CHECK(first.placed(0).first_event_ms() == 60);
-    client.ended(sent, v1::PLACEMENT_SERVED, AnswerPace{.meanMs = 12, .longestMs = 40});
+    client.ended(sent, v1::PLACEMENT_SERVED, AnswerPace{.meanMs = 12, .longestPauseMs = 40});
     const v1::EntryState second = client.state(after(200));
     CHECK(second.sequence() > first.sequence());
     CHECK(second.placed_size() == 0);
