--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -287,7 +287,7 @@
             .rank = request.organisation->priority * RoutePriorities + request.route->priority,
             .promptTokens = request.prompt,
             .objectiveAt = request.arrival + request.route->objective,
-            .answerBy = request.arrival + request.route->deadline,
+            .deadline = request.arrival + request.route->deadline,
             .tried = {},
             .organisation = request.organisation->name,
             .cost = request.prompt + request.answer,
--- a/src/placement/placementclient.cpp
+++ b/src/placement/placementclient.cpp
@@ -159,7 +159,7 @@
     ask.set_rank(held.wish.rank);
     ask.set_prompt_tokens(held.wish.promptTokens);
     ask.set_objective_in_ms(static_cast<std::int32_t>(wholeMilliseconds(held.wish.objectiveAt - now)));
-    ask.set_answer_in_ms(static_cast<std::int32_t>(wholeMilliseconds(held.wish.answerBy - now)));
+    ask.set_answer_in_ms(static_cast<std::int32_t>(wholeMilliseconds(held.wish.deadline - now)));
     ask.set_draw_permille(held.wish.draw);
     ask.set_organisation(held.wish.organisation.value);
     ask.set_cost(held.wish.cost);
--- a/src/placement/placementclient.h
+++ b/src/placement/placementclient.h
@@ -23,7 +23,7 @@
     std::uint32_t promptTokens = 0;
     /// Until when an answer is on time, and of any use.
     TimePoint objectiveAt;
-    TimePoint answerBy;
+    TimePoint deadline;
     /// 0 to 999, from the request's id: which part of a rollout's split it belongs to.
     std::uint32_t draw = 0;
     std::set<InstanceName> tried;
--- a/src/placement/placementserver.cpp
+++ b/src/placement/placementserver.cpp
@@ -196,7 +196,7 @@
         .cost = ask.cost(),
         .maxPauseMs = static_cast<double>(ask.longest_pause_ms()),
         .expectedEvents = ask.expected_events(),
-        .answerBy = now + std::chrono::milliseconds(ask.answer_in_ms()),
+        .deadline = now + std::chrono::milliseconds(ask.answer_in_ms()),
         .tried = {},
         .objectiveAt = now + std::chrono::milliseconds(ask.objective_in_ms()),
         .latestStart = {},
@@ -215,7 +215,7 @@
     // that can still be on time, and in an overload everybody would be late. A prompt that takes most of its objective to read may wait all the same,
     // or the longest ones would hardly ever be served.
     const TimePoint leastWaitEnds = now + std::max<Duration>(item.objectiveAt - now, Duration::zero()) / LeastWaitDivisor;
-    item.giveUpAt = std::min(std::max(item.latestStart, leastWaitEnds), item.answerBy);
+    item.giveUpAt = std::min(std::max(item.latestStart, leastWaitEnds), item.deadline);
     return item;
 }
 
@@ -231,7 +231,7 @@
         item = Item{.service = item.service,
                     .promptTokens = placed.prompt_tokens(),
                     .organisation = {},
-                    .answerBy = {},
+                    .deadline = {},
                     .tried = {},
                     .objectiveAt = {},
                     .latestStart = {},
@@ -351,7 +351,7 @@
         .tried = item.tried,
         .maxPauseMs = item.maxPauseMs,
         .expectedEvents = item.expectedEvents,
-        .answerWithin = item.answerBy - now,
+        .answerWithin = item.deadline - now,
     };
     const auto found = m_rollouts.find(item.service.value);
     if (found == m_rollouts.end()) {
--- a/src/placement/placementserver.h
+++ b/src/placement/placementserver.h
@@ -105,7 +105,7 @@
         std::uint64_t cost = 0;
         double maxPauseMs = 0;
         std::uint32_t expectedEvents = 0;
-        TimePoint answerBy;
+        TimePoint deadline;
         std::set<InstanceName> tried;
         TimePoint objectiveAt;
         /// Until when a start is early enough for an answer on time.
--- a/src/proxy/proxyanswers.cpp
+++ b/src/proxy/proxyanswers.cpp
@@ -86,7 +86,7 @@
             headers.emplace_back(name, value);
         }
     }
-    headers.emplace_back(names.deadlineMs, std::to_string(std::max<std::int64_t>(1, wholeMilliseconds(request.order.answerBy - now))));
+    headers.emplace_back(names.deadlineMs, std::to_string(std::max<std::int64_t>(1, wholeMilliseconds(request.order.deadline - now))));
     headers.emplace_back(names.expectedInstance, to.name.value);
     if (!request.order.organisation.value.empty()) {
         headers.emplace_back(names.organisation, request.order.organisation.value);
@@ -100,7 +100,7 @@
 /// Silence ends a sending early only where another upstream may go on; elsewhere the request's own time limit does.
 ProgressTimeouts ProxyTask::timeoutsFor(const ProxyRequest &request, TimePoint now) const
 {
-    const Duration left = std::max<Duration>(request.order.answerBy - now, std::chrono::milliseconds(1)) + std::chrono::seconds(1);
+    const Duration left = std::max<Duration>(request.order.deadline - now, std::chrono::milliseconds(1)) + std::chrono::seconds(1);
     const bool mayGoOn = request.isResumable() && request.attempts.sentCount() + 1 < request.order.route->max_attempts();
     const Duration silence = mayGoOn ? std::min<Duration>(left, SilenceBeforeResume) : left;
     return ProgressTimeouts{.connect = ConnectTimeout, .firstByte = silence, .betweenBytes = silence};
@@ -303,7 +303,7 @@
     const TimePoint now = EventLoop::now();
     if (step == NextStep::TryAnother) {
         const bool free = end == AttemptEnd::NotSent;
-        if (now < request.order.answerBy && (free || m_retries[request.order.service].trySpend())) {
+        if (now < request.order.deadline && (free || m_retries[request.order.service].trySpend())) {
             logChange("proxy",
                       "tried-again",
                       {{"id", request.order.id.value}, {"after", request.at.name.value}, {"sent", std::to_string(request.attempts.sentCount())}});
--- a/src/proxy/proxyplacement.cpp
+++ b/src/proxy/proxyplacement.cpp
@@ -22,7 +22,7 @@
         .rank = order.rank.value,
         .promptTokens = order.promptTokens,
         .objectiveAt = order.objectiveAt,
-        .answerBy = order.answerBy,
+        .deadline = order.deadline,
         .draw = static_cast<std::uint32_t>(checksum(order.id.value) % WholeSharePermille),
         .tried = request.tried,
         // A further try of a request is not charged again.
--- a/src/proxy/proxyrequest.h
+++ b/src/proxy/proxyrequest.h
@@ -35,7 +35,7 @@
     std::uint64_t cost = 0;
     TimePoint arrived;
     /// The caller's deadline or the route's timeout, whichever comes first.
-    TimePoint answerBy;
+    TimePoint deadline;
     /// Until when an answer (a stream's first event) is on time.
     TimePoint objectiveAt;
 };
@@ -85,7 +85,7 @@
     TimePoint lastEventAt;
     std::uint32_t eventBatches = 0;
     Duration longestPause{};
-    /// Fires at answerBy.
+    /// Fires at deadline.
     std::unique_ptr<Timer> timeout;
 };
 
--- a/src/proxy/proxytask.cpp
+++ b/src/proxy/proxytask.cpp
@@ -240,7 +240,7 @@
     auto &request = *m_requests.emplace(local, std::make_unique<ProxyRequest>(local, std::move(std::get<ProxyOrder>(made)), exchange)).first->second;
     exchange->callerLeft().connect([this, local] { callerLeft(local); });
     request.timeout = std::make_unique<Timer>(m_loop, [this, local] { timedOut(local); });
-    request.timeout->startOnce(request.order.answerBy - now);
+    request.timeout->startOnce(request.order.deadline - now);
     m_retries[request.order.service].firstSending();
     askOrRefuse(request, now);
 }
--- a/src/proxy/requestparser.cpp
+++ b/src/proxy/requestparser.cpp
@@ -115,7 +115,7 @@
                      .organisation = {},
                      .rank = {},
                      .arrived = arrived,
-                     .answerBy = {}};
+                     .deadline = {}};
     if (order.id.value.empty()) {
         return refusal(ErrorKind::BadRequest, "the header " + headers.requestId + " is missing: send an id of your own with each try");
     }
@@ -127,7 +127,7 @@
 
     const auto deadline = numberIn(exchange.header(headers.deadlineMs.c_str()));
     const auto deadlineMs = static_cast<std::int64_t>(std::min<std::uint64_t>(deadline.value_or(LongestDeadlineMs), LongestDeadlineMs));
-    order.answerBy = arrived + std::chrono::milliseconds(std::min<std::int64_t>(deadlineMs, order.route->timeout_ms()));
+    order.deadline = arrived + std::chrono::milliseconds(std::min<std::int64_t>(deadlineMs, order.route->timeout_ms()));
 
     order.objectiveAt = arrived + std::chrono::milliseconds(order.route->objective_ms());
     const std::optional<TokenCounts> tokens = tokenCountsOf(exchange, headers);
--- a/tests/placement/placementclienttest.cpp
+++ b/tests/placement/placementclienttest.cpp
@@ -32,7 +32,7 @@
 
 SlotRequest draft()
 {
-    return SlotRequest{.service = ServiceName{"drafts"}, .objectiveAt = after(400), .answerBy = after(8000), .tried = {}};
+    return SlotRequest{.service = ServiceName{"drafts"}, .objectiveAt = after(400), .deadline = after(8000), .tried = {}};
 }
 
 v1::PlacementReply granting(PlacementId id)
