--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -281,7 +281,7 @@
     const LoadRequest &request = run.request;
     Vm &vm = vmOf(run);
     ++run.tries;
-    run.place = vm.client->ask(
+    run.place = vm.client->requestPlacement(
         SlotRequest{
             .service = Service,
             .rank = request.organisation->priority * RoutePriorities + request.route->priority,
--- a/src/placement/placementclient.cpp
+++ b/src/placement/placementclient.cpp
@@ -52,7 +52,7 @@
     return m_self;
 }
 
-PlacementId PlacementClient::ask(SlotRequest wish, TimePoint now)
+PlacementId PlacementClient::requestPlacement(SlotRequest wish, TimePoint now)
 {
     if (!anyWaiting()) {
         m_heard = now;
@@ -153,20 +153,20 @@
         placed.set_early_pace_ms(held.earlyPaceMs);
         return;
     }
-    v1::PlacementAsk &ask = *state.add_asks();
-    ask.set_id(id.value);
-    ask.set_service(held.wish.service.value);
-    ask.set_rank(held.wish.rank);
-    ask.set_prompt_tokens(held.wish.promptTokens);
-    ask.set_objective_in_ms(static_cast<std::int32_t>(wholeMilliseconds(held.wish.objectiveAt - now)));
-    ask.set_answer_in_ms(static_cast<std::int32_t>(wholeMilliseconds(held.wish.deadline - now)));
-    ask.set_draw_permille(held.wish.draw);
-    ask.set_organisation(held.wish.organisation.value);
-    ask.set_cost(held.wish.cost);
-    ask.set_longest_pause_ms(held.wish.maxPauseMs);
-    ask.set_expected_events(held.wish.expectedEvents);
+    v1::PlacementAsk &requestPlacement = *state.add_asks();
+    requestPlacement.set_id(id.value);
+    requestPlacement.set_service(held.wish.service.value);
+    requestPlacement.set_rank(held.wish.rank);
+    requestPlacement.set_prompt_tokens(held.wish.promptTokens);
+    requestPlacement.set_objective_in_ms(static_cast<std::int32_t>(wholeMilliseconds(held.wish.objectiveAt - now)));
+    requestPlacement.set_answer_in_ms(static_cast<std::int32_t>(wholeMilliseconds(held.wish.deadline - now)));
+    requestPlacement.set_draw_permille(held.wish.draw);
+    requestPlacement.set_organisation(held.wish.organisation.value);
+    requestPlacement.set_cost(held.wish.cost);
+    requestPlacement.set_longest_pause_ms(held.wish.maxPauseMs);
+    requestPlacement.set_expected_events(held.wish.expectedEvents);
     for (const InstanceName &tried : held.wish.tried) {
-        ask.add_tried(tried.value);
+        requestPlacement.add_tried(tried.value);
     }
 }
 
--- a/src/placement/placementclient.h
+++ b/src/placement/placementclient.h
@@ -93,7 +93,7 @@
         return m_ranked;
     }
 
-    PlacementId ask(SlotRequest wish, TimePoint now);
+    PlacementId requestPlacement(SlotRequest wish, TimePoint now);
     /// It was granted, and its first event came so long after the sending.
     void recordFirstEvent(PlacementId id, Duration after);
     /// Milliseconds between its first events, where the grant asked for that.
--- a/src/proxy/placementhost.cpp
+++ b/src/proxy/placementhost.cpp
@@ -75,9 +75,9 @@
     advanceSoon();
 }
 
-PlacementId PlacementHost::ask(SlotRequest wish)
+PlacementId PlacementHost::requestPlacement(SlotRequest wish)
 {
-    const PlacementId id = m_client.ask(std::move(wish), EventLoop::now());
+    const PlacementId id = m_client.requestPlacement(std::move(wish), EventLoop::now());
     stateChanged();
     return id;
 }
--- a/src/proxy/placementhost.h
+++ b/src/proxy/placementhost.h
@@ -35,7 +35,7 @@
     static Result<std::unique_ptr<PlacementHost>> open(EventLoop &loop, PlacementHostOptions options);
 
     /// Answered by granted or refused, unless it is ended before.
-    PlacementId ask(SlotRequest wish);
+    PlacementId requestPlacement(SlotRequest wish);
     /// See PlacementClient.
     void recordFirstEvent(PlacementId id, Duration after);
     void recordEarlyPace(PlacementId id, double paceMs);
--- a/tests/placement/placementclienttest.cpp
+++ b/tests/placement/placementclienttest.cpp
@@ -66,7 +66,7 @@
 {
     PlacementClient client(Self, Here, 7);
     client.setCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
-    client.ask(draft(), Start);
+    client.requestPlacement(draft(), Start);
     const VmName first = client.server(Start);
     CHECK_FALSE(client.passOverSilent(after(100)));
     REQUIRE(client.passOverSilent(after(160)));
@@ -84,7 +84,7 @@
 {
     PlacementClient client(Self, Here, 7);
     client.setCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
-    const PlacementId id = client.ask(draft(), Start);
+    const PlacementId id = client.requestPlacement(draft(), Start);
     const VmName first = client.server(Start);
     v1::PlacementReply reply = granting(id);
     reply.set_leaving(true);
@@ -98,7 +98,7 @@
 {
     PlacementClient client(Self, Here, 7);
     client.setCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
-    const PlacementId id = client.ask(draft(), Start);
+    const PlacementId id = client.requestPlacement(draft(), Start);
     const VmName server = client.server(Start);
     const VmName other{server == VmName{"10.0.0.2"} ? "10.0.0.3" : "10.0.0.2"};
     CHECK(client.handleReply(other, granting(id), after(1)).empty());
@@ -116,8 +116,8 @@
 TEST_CASE("a state tells all that waits and is under way, and each end once")
 {
     PlacementClient client(Self, Here, 7);
-    const PlacementId sent = client.ask(draft(), Start);
-    const PlacementId waitingCount = client.ask(draft(), Start);
+    const PlacementId sent = client.requestPlacement(draft(), Start);
+    const PlacementId waitingCount = client.requestPlacement(draft(), Start);
     client.handleReply(Self, granting(sent), after(1));
     client.recordFirstEvent(sent, std::chrono::milliseconds(60));
     const v1::EntryState first = client.state(after(100));
@@ -142,7 +142,7 @@
 {
     PlacementClient client(Self, Here, 7);
     client.setCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
-    const PlacementId id = client.ask(draft(), Start);
+    const PlacementId id = client.requestPlacement(draft(), Start);
     const VmName server = client.server(Start);
     v1::PlacementReply reply;
     reply.set_incarnation(7);
@@ -176,7 +176,7 @@
 {
     PlacementClient client(Self, Here, 7);
     client.setCandidates(fleetOf({"10.0.0.1"}));
-    const PlacementId id = client.ask(draft(), Start);
+    const PlacementId id = client.requestPlacement(draft(), Start);
     client.state(Start);
     REQUIRE(client.handleReply(client.server(Start), granting(id), Start).size() == 1);
     client.recordFirstEvent(id, std::chrono::milliseconds(80));
