--- a/src/placement/placementserver.h
+++ b/src/placement/placementserver.h
@@ -163,7 +163,7 @@
     Duration retryAfterFull(Service &service, TimePoint now);
 
     const DataCentreName m_here;
-    UpstreamBoard m_board;
+    UpstreamPool m_board;
     FleetLimits m_limits;
     std::size_t m_fleetSize = 1;
     std::map<VmName, Peer> m_peers;
--- a/src/placement/upstreampool.cpp
+++ b/src/placement/upstreampool.cpp
@@ -40,7 +40,7 @@
 
 }
 
-void UpstreamBoard::setList(const std::vector<UpstreamInstance> &instances, TimePoint now)
+void UpstreamPool::setList(const std::vector<UpstreamInstance> &instances, TimePoint now)
 {
     std::map<InstanceName, Upstream> next;
     addToList(next, instances, now);
@@ -48,7 +48,7 @@
     replaceList(std::move(next));
 }
 
-void UpstreamBoard::takeListPart(const DataCentreName &dataCentre, const std::vector<UpstreamInstance> &instances, TimePoint now)
+void UpstreamPool::takeListPart(const DataCentreName &dataCentre, const std::vector<UpstreamInstance> &instances, TimePoint now)
 {
     std::map<InstanceName, Upstream> next;
     for (const auto &[name, upstream] : m_upstreams) {
@@ -61,7 +61,7 @@
     replaceList(std::move(next));
 }
 
-void UpstreamBoard::addToList(std::map<InstanceName, Upstream> &next, const std::vector<UpstreamInstance> &instances, TimePoint now) const
+void UpstreamPool::addToList(std::map<InstanceName, Upstream> &next, const std::vector<UpstreamInstance> &instances, TimePoint now) const
 {
     for (const UpstreamInstance &instance : instances) {
         const auto known = m_upstreams.find(instance.name);
@@ -77,7 +77,7 @@
     }
 }
 
-void UpstreamBoard::replaceList(std::map<InstanceName, Upstream> &&next)
+void UpstreamPool::replaceList(std::map<InstanceName, Upstream> &&next)
 {
     m_upstreams.swap(next);
     m_ofService.clear();
@@ -92,14 +92,14 @@
     }
 }
 
-void UpstreamBoard::addLoads(const Peer &peer, int sign)
+void UpstreamPool::addLoads(const Peer &peer, int sign)
 {
     for (const auto &[name, told] : peer.loads) {
         addLoad(name, told.load, sign);
     }
 }
 
-void UpstreamBoard::addLoad(const InstanceName &name, const Load &load, int sign)
+void UpstreamPool::addLoad(const InstanceName &name, const Load &load, int sign)
 {
     Upstream *upstream = find(name);
     if (!upstream) {
@@ -115,7 +115,7 @@
 }
 
 /// What the peer has not told for so long ended, and the notice that said so was lost.
-void UpstreamBoard::forgetUntold(Peer &peer)
+void UpstreamPool::forgetUntold(Peer &peer)
 {
     std::erase_if(peer.loads, [&](const auto &held) {
         const bool untold = peer.sequence - held.second.sequence > NoticesBeforeForgotten;
@@ -126,7 +126,7 @@
     });
 }
 
-void UpstreamBoard::handleNotice(const VmName &vm, const v1::LoadNotice &notice, TimePoint now)
+void UpstreamPool::handleNotice(const VmName &vm, const v1::LoadNotice &notice, TimePoint now)
 {
     Peer &peer = m_peers[vm];
     if (notice.incarnation() == peer.incarnation && notice.sequence() <= peer.sequence) {
@@ -154,7 +154,7 @@
     forgetUntold(peer);
 }
 
-void UpstreamBoard::expireTimedOut(TimePoint now)
+void UpstreamPool::expireTimedOut(TimePoint now)
 {
     for (auto &[vm, peer] : m_peers) {
         if (now - peer.heard > NoticeHolds && !peer.loads.empty()) {
@@ -164,13 +164,13 @@
     }
 }
 
-bool UpstreamBoard::isUsable(const Upstream &upstream, TimePoint now) const
+bool UpstreamPool::isUsable(const Upstream &upstream, TimePoint now) const
 {
     const bool isOld = m_listInParts && upstream.isFarther && m_listReadable && now - upstream.listedAt > ListHolds;
     return !isOld && !upstream.instance.draining && now >= upstream.restsUntil;
 }
 
-bool UpstreamBoard::allowed(const Upstream &upstream, const PlacementQuery &query, TimePoint now) const
+bool UpstreamPool::allowed(const Upstream &upstream, const PlacementQuery &query, TimePoint now) const
 {
     if (!isUsable(upstream, now) || query.tried.contains(upstream.instance.name)) {
         return false;
@@ -181,7 +181,7 @@
     return (upstream.instance.version == query.versions.target) == query.versions.toTarget;
 }
 
-double UpstreamBoard::fastestPace(const ServiceName &service) const
+double UpstreamPool::fastestPace(const ServiceName &service) const
 {
     double fastest = std::numeric_limits<double>::max();
     for (const Upstream *upstream : ofService(service)) {
@@ -191,7 +191,7 @@
 }
 
 /// An engine reads the prompts before this one first. A plain upstream slows down as it fills.
-double UpstreamBoard::predictedMs(const Upstream &upstream, std::uint32_t promptTokens, double fastest) const
+double UpstreamPool::predictedMs(const Upstream &upstream, std::uint32_t promptTokens, double fastest) const
 {
     // One that nothing is known of counts as the fastest, so that it is tried.
     const double pace = upstream.paceMs > 0 ? upstream.paceMs : fastest;
@@ -207,7 +207,7 @@
 
 /// One that nothing is known of counts as the fastest, so that it is tried. Filled before it has shown anything, it may be the slowest: its answers would
 /// come too late, and it would hold what others could have taken.
-bool UpstreamBoard::hasPlace(const Upstream &upstream) const
+bool UpstreamPool::hasPlace(const Upstream &upstream) const
 {
     const std::uint32_t requests = upstream.own.requests + upstream.others.requests;
     const bool untried = upstream.paceMs <= 0 && m_engines.contains(upstream.instance.service);
@@ -216,7 +216,7 @@
 
 /// Whether the whole answer is likely to be there before its deadline. A long answer on a slow engine isn't: its caller gets nothing, after it has held a
 /// place for all that time.
-bool UpstreamBoard::wouldEnd(const Upstream &upstream, const PlacementQuery &query, double firstMs, double fastest) const
+bool UpstreamPool::wouldEnd(const Upstream &upstream, const PlacementQuery &query, double firstMs, double fastest) const
 {
     if (query.answerWithin <= Duration::zero() || query.expectedEvents == 0) {
         return true;
@@ -227,7 +227,7 @@
 }
 
 /// Whether waiting for another upstream may help: with nothing else to do, some would end the answer in time.
-bool UpstreamBoard::someWouldEnd(const PlacementQuery &query, double fastest, TimePoint now) const
+bool UpstreamPool::someWouldEnd(const PlacementQuery &query, double fastest, TimePoint now) const
 {
     return std::ranges::any_of(ofService(query.service),
                                [&](const Upstream *upstream) { return allowed(*upstream, query, now) && wouldEnd(*upstream, query, 0, fastest); });
@@ -235,7 +235,7 @@
 
 /// An engine reads new prompts between the steps of the streams that it runs, so these pause: by the time of the reading, or by what its
 /// parts take between two events, whichever is less. On engines several times slower than the others the pause makes all of them late.
-bool UpstreamBoard::wouldPause(const Upstream &upstream, const PlacementQuery &query, double fastest) const
+bool UpstreamPool::wouldPause(const Upstream &upstream, const PlacementQuery &query, double fastest) const
 {
     const auto engine = m_engines.find(upstream.instance.service);
     const auto pauses = m_pauses.find(upstream.instance.service);
@@ -249,7 +249,7 @@
     return upstream.paceMs + std::min(reading, most) > PausePart * query.maxPauseMs;
 }
 
-Placement UpstreamBoard::choose(const PlacementQuery &query, TimePoint now) const
+Placement UpstreamPool::choose(const PlacementQuery &query, TimePoint now) const
 {
     const double fastest = fastestPace(query.service);
     // An answer that no upstream would end in time is tried all the same: the estimate may be wrong.
@@ -287,32 +287,32 @@
     };
 }
 
-Duration UpstreamBoard::soonestIdle(const ServiceName &service, std::uint32_t promptTokens) const
+Duration UpstreamPool::soonestIdle(const ServiceName &service, std::uint32_t promptTokens) const
 {
     const auto engine = m_engines.find(service);
     const double ms = promptTokens == 0 || engine == m_engines.end() ? 0 : engine->second.predictedMs(promptTokens, 1);
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(ms));
 }
 
-bool UpstreamBoard::hasRoom(const ServiceName &service, TimePoint now) const
+bool UpstreamPool::hasRoom(const ServiceName &service, TimePoint now) const
 {
     return std::ranges::any_of(ofService(service), [this, now](const Upstream *upstream) { return isUsable(*upstream, now) && hasPlace(*upstream); });
 }
 
-const std::vector<const UpstreamBoard::Upstream *> &UpstreamBoard::ofService(const ServiceName &service) const
+const std::vector<const UpstreamPool::Upstream *> &UpstreamPool::ofService(const ServiceName &service) const
 {
     static const std::vector<const Upstream *> None;
     const auto found = m_ofService.find(service);
     return found == m_ofService.end() ? None : found->second;
 }
 
-UpstreamBoard::Upstream *UpstreamBoard::find(const InstanceName &name)
+UpstreamPool::Upstream *UpstreamPool::find(const InstanceName &name)
 {
     const auto found = m_upstreams.find(name);
     return found == m_upstreams.end() ? nullptr : &found->second;
 }
 
-void UpstreamBoard::sent(const InstanceName &name, std::uint32_t promptTokens)
+void UpstreamPool::sent(const InstanceName &name, std::uint32_t promptTokens)
 {
     if (Upstream *upstream = find(name)) {
         ++upstream->own.requests;
@@ -320,14 +320,14 @@
     }
 }
 
-void UpstreamBoard::promptRead(const InstanceName &name, std::uint32_t promptTokens)
+void UpstreamPool::promptRead(const InstanceName &name, std::uint32_t promptTokens)
 {
     if (Upstream *upstream = find(name)) {
         upstream->own.tokens -= std::min<std::uint64_t>(upstream->own.tokens, promptTokens);
     }
 }
 
-void UpstreamBoard::ended(const InstanceName &name)
+void UpstreamPool::ended(const InstanceName &name)
 {
     Upstream *upstream = find(name);
     if (upstream && upstream->own.requests > 0) {
@@ -335,13 +335,13 @@
     }
 }
 
-std::uint64_t UpstreamBoard::tokensAhead(const InstanceName &name) const
+std::uint64_t UpstreamPool::tokensAhead(const InstanceName &name) const
 {
     const auto found = m_upstreams.find(name);
     return found == m_upstreams.end() ? 0 : found->second.own.tokens + found->second.others.tokens;
 }
 
-void UpstreamBoard::observedFirstEvent(const InstanceName &name, double tokens, double milliseconds)
+void UpstreamPool::observedFirstEvent(const InstanceName &name, double tokens, double milliseconds)
 {
     const Upstream *upstream = find(name);
     if (!upstream || upstream->paceMs <= 0) {
@@ -350,14 +350,14 @@
     m_engines[upstream->instance.service].observed(tokens, milliseconds, upstream->paceMs / fastestPace(upstream->instance.service));
 }
 
-void UpstreamBoard::observedPace(const InstanceName &name, double milliseconds)
+void UpstreamPool::observedPace(const InstanceName &name, double milliseconds)
 {
     if (Upstream *upstream = find(name)) {
         upstream->paceMs = upstream->paceMs == 0 ? milliseconds : (1 - PaceWeight) * upstream->paceMs + PaceWeight * milliseconds;
     }
 }
 
-void UpstreamBoard::observedEarlyPace(const InstanceName &name, double milliseconds)
+void UpstreamPool::observedEarlyPace(const InstanceName &name, double milliseconds)
 {
     Upstream *upstream = find(name);
     if (upstream && upstream->paceMs == 0) {
@@ -365,27 +365,27 @@
     }
 }
 
-bool UpstreamBoard::knowsPace(const InstanceName &name) const
+bool UpstreamPool::knowsPace(const InstanceName &name) const
 {
     const auto found = m_upstreams.find(name);
     return found != m_upstreams.end() && found->second.paceMs > 0;
 }
 
-void UpstreamBoard::observedPauses(const InstanceName &name, double meanMs, double longestPauseMs)
+void UpstreamPool::observedPauses(const InstanceName &name, double meanMs, double longestPauseMs)
 {
     if (const Upstream *upstream = find(name)) {
         m_pauses[upstream->instance.service].observed(meanMs, longestPauseMs);
     }
 }
 
-void UpstreamBoard::succeeded(const InstanceName &name)
+void UpstreamPool::succeeded(const InstanceName &name)
 {
     if (Upstream *upstream = find(name)) {
         upstream->failuresInARow = 0;
     }
 }
 
-void UpstreamBoard::failed(const InstanceName &name, TimePoint now)
+void UpstreamPool::failed(const InstanceName &name, TimePoint now)
 {
     Upstream *upstream = find(name);
     if (!upstream) {
@@ -398,27 +398,27 @@
     }
 }
 
-void UpstreamBoard::refused(const InstanceName &name, TimePoint now)
+void UpstreamPool::refused(const InstanceName &name, TimePoint now)
 {
     if (Upstream *upstream = find(name)) {
         upstream->restsUntil = std::max(upstream->restsUntil, now + RestAfterRefusal);
     }
 }
 
-void UpstreamBoard::misdirected(const InstanceName &name, TimePoint now)
+void UpstreamPool::misdirected(const InstanceName &name, TimePoint now)
 {
     if (Upstream *upstream = find(name)) {
         upstream->restsUntil = std::max(upstream->restsUntil, now + RestAfterMisdirection);
     }
 }
 
-std::uint32_t UpstreamBoard::inFlight(const InstanceName &name) const
+std::uint32_t UpstreamPool::inFlight(const InstanceName &name) const
 {
     const auto found = m_upstreams.find(name);
     return found == m_upstreams.end() ? 0 : found->second.own.requests + found->second.others.requests;
 }
 
-bool UpstreamBoard::Told::isDue(const Load &now, bool isItsTurn)
+bool UpstreamPool::Told::isDue(const Load &now, bool isItsTurn)
 {
     if (now != load) {
         load = now;
@@ -428,7 +428,7 @@
     return isItsTurn && (now != Load{} || std::exchange(repeatsNothing, false));
 }
 
-void UpstreamBoard::writeNotice(v1::LoadNotice &notice, bool forBackup)
+void UpstreamPool::writeNotice(v1::LoadNotice &notice, bool forBackup)
 {
     const std::uint64_t slice = notice.sequence() % Slices;
     m_backupNotices += forBackup ? 1 : 0;
--- a/src/placement/upstreampool.h
+++ b/src/placement/upstreampool.h
@@ -49,10 +49,10 @@
 
 /// What is known of each upstream: the platform's list, the requests that were given out here, those of other data centres from their
 /// servers' notices, how fast it answers, and whether it has just failed. Chooses where the next request goes. Pure: time is an argument.
-class UpstreamBoard
+class UpstreamPool
 {
 public:
-    explicit UpstreamBoard(DataCentreName here)
+    explicit UpstreamPool(DataCentreName here)
         : m_here(std::move(here))
     {
     }
--- a/tests/placement/upstreampooltest.cpp
+++ b/tests/placement/upstreampooltest.cpp
@@ -26,7 +26,7 @@
 
 const PlacementQuery AnyDraft{.service = ServiceName{"drafts"}, .versions = {}, .promptTokens = 0, .tried = {}};
 
-std::string chosen(const UpstreamBoard &board, TimePoint now, const PlacementQuery &query = AnyDraft)
+std::string chosen(const UpstreamPool &board, TimePoint now, const PlacementQuery &query = AnyDraft)
 {
     const Placement placement = board.choose(query, now);
     return placement.upstream ? placement.upstream->name.value : "";
@@ -49,7 +49,7 @@
 // engine, which knows no priorities, lets them wait inside.
 TEST_CASE("places that other VMs have taken are not taken again")
 {
-    UpstreamBoard board(Here);
+    UpstreamPool board(Here);
     board.setList({instance("a"), instance("b")});
     board.handleNotice(VmName{"vm-2"}, noticeOf(1, 1, "a", 2), Start);
     CHECK(chosen(board, Start) == "b");
@@ -81,7 +81,7 @@
 
 TEST_CASE("an upstream that leaves gets nothing from the list that says so on")
 {
-    UpstreamBoard board(Here);
+    UpstreamPool board(Here);
     UpstreamInstance leaving = instance("a");
     leaving.draining = true;
     board.setList({leaving});
@@ -91,7 +91,7 @@
 // What callers see: an upstream that fails everything in no time looks like the fastest and gets more and more.
 TEST_CASE("an upstream that fails several requests in a row rests and is tried again later")
 {
-    UpstreamBoard board(Here);
+    UpstreamPool board(Here);
     board.setList({instance("a"), instance("b", "dc-b")});
     board.failed(InstanceName{"a"}, Start);
     CHECK(chosen(board, Start) == "a");
@@ -102,7 +102,7 @@
 
 TEST_CASE("a request leaves its data centre only when it gains by it")
 {
-    UpstreamBoard board(Here);
+    UpstreamPool board(Here);
     board.setList({instance("near"), instance("far", "dc-b")});
     board.observedPace(InstanceName{"near"}, 50);
     board.observedPace(InstanceName{"far"}, 45);
@@ -113,7 +113,7 @@
 
 TEST_CASE("a long prompt goes where less is to be read before it")
 {
-    UpstreamBoard board(Here);
+    UpstreamPool board(Here);
     board.setList({instance("a"), instance("b")});
     for (const char *name : {"a", "b"}) {
         board.observedPace(InstanceName{name}, 20);
@@ -132,7 +132,7 @@
 // What operators see: a version that was taken back goes on getting traffic, or one in its first minutes gets more than its share.
 TEST_CASE("a request goes only to the version it is for")
 {
-    UpstreamBoard board(Here);
+    UpstreamPool board(Here);
     UpstreamInstance next = instance("new");
     next.version = VersionName{"v2"};
     board.setList({instance("old"), next});
@@ -148,7 +148,7 @@
 // Figures: events 20 ms apart on a fast engine and 65 on a slow one, prompts read at 160 tokens a millisecond, longest pauses three times the mean ones.
 TEST_CASE("a prompt whose reading would make the streams beside it pause too long goes elsewhere")
 {
-    UpstreamBoard board(Here);
+    UpstreamPool board(Here);
     board.setList({instance("fast", "dc-a", 3), instance("slow", "dc-a", 3)});
     board.observedPace(InstanceName{"fast"}, 20);
     board.observedPace(InstanceName{"slow"}, 65);
@@ -182,7 +182,7 @@
 // answer was given to a slow engine, which would have needed twice the time, and held a place there all the while.
 TEST_CASE("a long answer goes where it ends before its deadline")
 {
-    UpstreamBoard board(Here);
+    UpstreamPool board(Here);
     board.setList({instance("fast"), instance("slow")});
     board.observedPace(InstanceName{"fast"}, 12);
     board.observedPace(InstanceName{"slow"}, 60);
@@ -214,7 +214,7 @@
 // end. The slowest engines, taken for the fastest until then, had been filled.
 TEST_CASE("an engine of unknown speed gets a few requests until its first events tell")
 {
-    UpstreamBoard board(Here);
+    UpstreamPool board(Here);
     board.setList({instance("known", "dc-a", 9), instance("new", "dc-a", 9)});
     board.observedPace(InstanceName{"known"}, 20);
     for (int i = 1; i <= 20; ++i) {
@@ -269,7 +269,7 @@
         return notice;
     }
 
-    UpstreamBoard board;
+    UpstreamPool board;
     std::uint64_t sequence = 0;
 };
 
@@ -298,7 +298,7 @@
 TEST_CASE("what a lost notice told is told again soon")
 {
     NoticeSender sender(2);
-    UpstreamBoard receiver(Here);
+    UpstreamPool receiver(Here);
     receiver.setList({instance(NoticeSender::nameOf(0)), instance(NoticeSender::nameOf(1))});
     const InstanceName name{NoticeSender::nameOf(0)};
     const VmName vm{"vm-2"};
@@ -332,7 +332,7 @@
 TEST_CASE("a backup that hears few notices knows all loads and paces after some of them")
 {
     NoticeSender sender(100);
-    UpstreamBoard receiver(Here);
+    UpstreamPool receiver(Here);
     std::vector<UpstreamInstance> list;
     for (int i = 0; i < 100; ++i) {
         const InstanceName name{NoticeSender::nameOf(i)};
@@ -357,7 +357,7 @@
 // Guards against new work for an upstream that left while only the nearer part of the list was read.
 TEST_CASE("farther upstreams are used while their part of the list is fresh, or while the list can't be read")
 {
-    UpstreamBoard board(Here);
+    UpstreamPool board(Here);
     board.setList({instance("near"), instance("far", "dc-b")}, Start);
     board.sent(InstanceName{"near"}, 0);
     board.sent(InstanceName{"near"}, 0);
@@ -384,7 +384,7 @@
 // Guards against a data centre that refuses callers beside free upstreams of the others, since nobody reads their part of the list.
 TEST_CASE("a choice says when a farther upstream might be better")
 {
-    UpstreamBoard board(Here);
+    UpstreamPool board(Here);
     board.setList({instance("near")}, Start);
     CHECK_FALSE(board.choose(AnyDraft, Start).fartherMayHelp);
     board.sent(InstanceName{"near"}, 0);
