--- a/src/placement/placementserver.h
+++ b/src/placement/placementserver.h
@@ -139,7 +139,7 @@
     };
     struct Service
     {
-        WaitingLine<AskKey> line;
+        RequestQueue<AskKey> line;
         /// The first and the last refusal for want of room in the present overload.
         TimePoint refusingSince{};
         TimePoint refusedLast{};
--- a/src/placement/requestqueue.h
+++ b/src/placement/requestqueue.h
@@ -16,7 +16,7 @@
 /// Requests of one service that wait for room at its upstreams, most urgent first and within a rank the one that must go soonest. Engines know
 /// no priorities and admit in order of arrival, so a request that waits there can't be overtaken by a more urgent one: waiting is done here.
 template<typename Key>
-class WaitingLine
+class RequestQueue
 {
 public:
     /// Until when a start is early enough for an answer on time, and when waiting ends.
--- a/tests/placement/requestqueuetest.cpp
+++ b/tests/placement/requestqueuetest.cpp
@@ -22,7 +22,7 @@
 
 TEST_CASE("higher ranks come first and within a rank who must start soonest")
 {
-    WaitingLine<PlacementId> line;
+    RequestQueue<PlacementId> line;
     line.add(PlacementId{1}, Routine, after(10), after(900));
     line.add(PlacementId{2}, Committee, after(300), after(900));
     line.add(PlacementId{3}, Committee, after(200), after(900));
@@ -33,7 +33,7 @@
 // engines could keep up again. Each place that becomes free goes to a request that is late already, while the next one becomes late.
 TEST_CASE("a request that can still be on time goes before a late one of its rank")
 {
-    WaitingLine<PlacementId> line;
+    RequestQueue<PlacementId> line;
     line.add(PlacementId{1}, Committee, after(100), after(900));
     line.add(PlacementId{2}, Committee, after(400), after(900));
     CHECK(line.inOrder(after(200)) == std::vector{PlacementId{2}, PlacementId{1}});
@@ -48,7 +48,7 @@
 // The draft's time to wait ends first, since its objective is shorter.
 TEST_CASE("no higher rank is refused while a lower one goes on waiting")
 {
-    WaitingLine<PlacementId> line;
+    RequestQueue<PlacementId> line;
     line.add(PlacementId{1}, Committee, after(100), after(300));
     line.add(PlacementId{2}, Routine, after(900), after(1500));
     CHECK(line.takeOverdue(after(299)).empty());
@@ -58,7 +58,7 @@
 
 TEST_CASE("a lower rank that is overdue leaves higher ones waiting")
 {
-    WaitingLine<PlacementId> line;
+    RequestQueue<PlacementId> line;
     line.add(PlacementId{1}, Committee, after(900), after(1500));
     line.add(PlacementId{2}, Routine, after(100), after(300));
     CHECK(line.takeOverdue(after(300)) == std::vector{PlacementId{2}});
