--- a/src/placement/fleetlimits.cpp
+++ b/src/placement/fleetlimits.cpp
@@ -117,7 +117,7 @@
 
 /// An organisation over its limit takes whatever comes in the moment it comes, so that urgent requests are refused for what routine ones have just taken.
 /// What more urgent ones ask for in a moment is left to them. A request that is small beside the limit costs them nothing.
-double FleetLimits::reserve(const Bucket &bucket, std::uint64_t cost, WaitingRank rank, TimePoint now) const
+double FleetLimits::reserve(const Bucket &bucket, std::uint64_t cost, PriorityRank rank, TimePoint now) const
 {
     const bool within = bucket.asked.value(now) <= m_coverage * bucket.rate;
     if (within || static_cast<double>(cost) < SmallPart * bucket.rate) {
@@ -130,7 +130,7 @@
     return ReserveSeconds * moreUrgent;
 }
 
-std::optional<Duration> FleetLimits::take(const std::string &organisation, std::uint64_t cost, WaitingRank rank, TimePoint now)
+std::optional<Duration> FleetLimits::take(const std::string &organisation, std::uint64_t cost, PriorityRank rank, TimePoint now)
 {
     const auto found = m_buckets.find(organisation);
     if (found == m_buckets.end() || found->second.rate == 0) {
--- a/src/placement/fleetlimits.h
+++ b/src/placement/fleetlimits.h
@@ -41,7 +41,7 @@
 
     /// Admits the cost. None: admitted; otherwise how long until a request like it is likely to pass. While an organisation asks for more than its limit,
     /// requests of lower ranks leave a reserve to the more urgent ones.
-    std::optional<Duration> take(const std::string &organisation, std::uint64_t cost, WaitingRank rank, TimePoint now);
+    std::optional<Duration> take(const std::string &organisation, std::uint64_t cost, PriorityRank rank, TimePoint now);
     /// Admitted, and refused after all for another reason.
     void giveBack(const std::string &organisation, std::uint64_t cost);
     /// How long no request of it can pass, unless something is given back.
@@ -73,7 +73,7 @@
         /// Here and elsewhere.
         Demand asked;
         /// Here.
-        std::map<WaitingRank, Demand> askedByRank;
+        std::map<PriorityRank, Demand> askedByRank;
     };
     struct Peer
     {
@@ -85,7 +85,7 @@
     void fill(Bucket &bucket, TimePoint now) const;
     void yield(Bucket &bucket, double coverage) const;
     static void charge(Bucket &bucket, std::int64_t cost);
-    double reserve(const Bucket &bucket, std::uint64_t cost, WaitingRank rank, TimePoint now) const;
+    double reserve(const Bucket &bucket, std::uint64_t cost, PriorityRank rank, TimePoint now) const;
 
     const double m_tolerance;
     double m_coverage = 0;
--- a/src/placement/placementserver.cpp
+++ b/src/placement/placementserver.cpp
@@ -177,13 +177,13 @@
         return;
     }
     Item &item = entry.items.emplace(id, itemOf(ask, now)).first->second;
-    if (const auto wait = item.organisation.empty() ? std::nullopt : m_limits.take(item.organisation, item.cost, WaitingRank{ask.rank()}, now)) {
+    if (const auto wait = item.organisation.empty() ? std::nullopt : m_limits.take(item.organisation, item.cost, PriorityRank{ask.rank()}, now)) {
         item.refusal.set_inputs(m_limits.inputs(item.organisation) + " cost=" + std::to_string(item.cost));
         item.refusal.set_closed_ms(wireMilliseconds(m_limits.closedFor(item.organisation)));
         refuse(entry, id, item, v1::PLACEMENT_OVER_LIMIT, *wait, now);
         return;
     }
-    m_services[item.service].line.add(AskKey{from, id}, WaitingRank{ask.rank()}, item.latestStart, item.giveUpAt);
+    m_services[item.service].line.add(AskKey{from, id}, PriorityRank{ask.rank()}, item.latestStart, item.giveUpAt);
 }
 
 PlacementServer::Item PlacementServer::itemOf(const v1::PlacementAsk &ask, TimePoint now) const
--- a/src/placement/requestqueue.h
+++ b/src/placement/requestqueue.h
@@ -11,7 +11,7 @@
 {
 
 /// 0 is the highest; made of the organisation's priority, then the route's.
-using WaitingRank = Strong<struct WaitingRankTag, std::uint32_t>;
+using PriorityRank = Strong<struct WaitingRankTag, std::uint32_t>;
 
 /// Requests of one service that wait for room at its upstreams, most urgent first and within a rank the one that must go soonest. Engines know
 /// no priorities and admit in order of arrival, so a request that waits there can't be overtaken by a more urgent one: waiting is done here.
@@ -20,7 +20,7 @@
 {
 public:
     /// Until when a start is early enough for an answer on time, and when waiting ends.
-    void add(const Key &request, WaitingRank rank, TimePoint latestStart, TimePoint giveUpAt)
+    void add(const Key &request, PriorityRank rank, TimePoint latestStart, TimePoint giveUpAt)
     {
         const Place place{rank, latestStart, m_next++};
         m_places.emplace(request, place);
@@ -49,7 +49,7 @@
     {
         std::vector<Key> ordered;
         std::vector<Key> late;
-        std::optional<WaitingRank> rank;
+        std::optional<PriorityRank> rank;
         const auto addLate = [&] {
             ordered.insert(ordered.end(), late.begin(), late.end());
             late.clear();
@@ -69,7 +69,7 @@
     std::vector<Key> takeOverdue(TimePoint now)
     {
         std::vector<Key> overdue;
-        std::optional<WaitingRank> highest;
+        std::optional<PriorityRank> highest;
         for (const auto &[place, waitingCount] : m_waiting) {
             const bool below = highest && *highest < place.rank;
             if (now < waitingCount.giveUpAt && !below) {
@@ -87,7 +87,7 @@
 private:
     struct Place
     {
-        WaitingRank rank;
+        PriorityRank rank;
         TimePoint latestStart;
         std::uint64_t order = 0;
 
--- a/src/proxy/proxyrequest.h
+++ b/src/proxy/proxyrequest.h
@@ -26,7 +26,7 @@
     ServiceName service;
     /// Empty on a route that is open to all.
     OrganisationName organisation;
-    WaitingRank rank;
+    PriorityRank rank;
     /// Prompt tokens to read; 0: a plain request.
     std::uint32_t promptTokens = 0;
     /// Events that the answer of a model engine is likely to have; 0: not known.
--- a/src/proxy/requestparser.cpp
+++ b/src/proxy/requestparser.cpp
@@ -137,7 +137,7 @@
         order.expectedEvents = expectedEventsOf(exchange, headers, *tokens, routes->service(order.service.value));
     }
 
-    order.rank = WaitingRank{std::min(order.route->priority(), RoutePriorities - 1)};
+    order.rank = PriorityRank{std::min(order.route->priority(), RoutePriorities - 1)};
     if (order.route->open_to_all() || !routes->needsKeys()) {
         return order;
     }
@@ -146,7 +146,7 @@
         return refusal(ErrorKind::Unauthorised, "no organisation holds the key in " + headers.apiKey + ": check the key");
     }
     order.organisation = OrganisationName{holder->name()};
-    order.rank = WaitingRank{holder->priority() * RoutePriorities + order.rank.value};
+    order.rank = PriorityRank{holder->priority() * RoutePriorities + order.rank.value};
     order.cost = costOf(tokens, *holder);
     return order;
 }
--- a/tests/placement/fleetlimitstest.cpp
+++ b/tests/placement/fleetlimitstest.cpp
@@ -34,10 +34,10 @@
     return limits;
 }
 
-constexpr WaitingRank Urgent{0};
-constexpr WaitingRank Routine{2};
+constexpr PriorityRank Urgent{0};
+constexpr PriorityRank Routine{2};
 
-std::uint64_t admittedOf(FleetLimits &limits, std::uint64_t cost, int requests, TimePoint now, WaitingRank rank = Routine)
+std::uint64_t admittedOf(FleetLimits &limits, std::uint64_t cost, int requests, TimePoint now, PriorityRank rank = Routine)
 {
     std::uint64_t admitted = 0;
     for (int i = 0; i < requests; ++i) {
--- a/tests/placement/requestqueuetest.cpp
+++ b/tests/placement/requestqueuetest.cpp
@@ -10,8 +10,8 @@
 {
 
 constexpr TimePoint Start{std::chrono::seconds(100)};
-constexpr WaitingRank Committee{0};
-constexpr WaitingRank Routine{2};
+constexpr PriorityRank Committee{0};
+constexpr PriorityRank Routine{2};
 
 TimePoint after(int milliseconds)
 {
