--- a/src/placement/requestqueue.h
+++ b/src/placement/requestqueue.h
@@ -11,7 +11,7 @@
 {
 
 /// 0 is the highest; made of the organisation's priority, then the route's.
-using PriorityRank = Strong<struct WaitingRankTag, std::uint32_t>;
+using PriorityRank = Strong<struct PriorityRankTag, std::uint32_t>;
 
 /// Requests of one service that wait for room at its upstreams, most urgent first and within a rank the one that must go soonest. Engines know
 /// no priorities and admit in order of arrival, so a request that waits there can't be overtaken by a more urgent one: waiting is done here.
