--- a/src/placement/firsteventmodel.cpp
+++ b/src/placement/firsteventmodel.cpp
@@ -14,7 +14,7 @@
 
 }
 
-void EnginePace::observed(double tokens, double milliseconds, double slowness)
+void FirstEventModel::observed(double tokens, double milliseconds, double slowness)
 {
     const double normal = milliseconds / std::max(slowness, 0.01);
     m_weight = Forgetting * m_weight + 1;
@@ -24,13 +24,13 @@
     m_sumProduct = Forgetting * m_sumProduct + tokens * normal;
 }
 
-double EnginePace::perToken() const
+double FirstEventModel::perToken() const
 {
     const double spread = m_weight * m_sumTokensSquared - m_sumTokens * m_sumTokens;
     return spread <= 0 ? 0 : std::max(0.0, (m_weight * m_sumProduct - m_sumTokens * m_sumMs) / spread);
 }
 
-double EnginePace::predictedMs(double tokens, double slowness) const
+double FirstEventModel::predictedMs(double tokens, double slowness) const
 {
     if (m_weight < LeastWeight) {
         return 0;
@@ -40,7 +40,7 @@
     return slowness * (fixed + slope * tokens);
 }
 
-double EnginePace::readingMs(double tokens, double slowness) const
+double FirstEventModel::readingMs(double tokens, double slowness) const
 {
     return m_weight < LeastWeight ? 0 : slowness * perToken() * tokens;
 }
--- a/src/placement/firsteventmodel.h
+++ b/src/placement/firsteventmodel.h
@@ -11,7 +11,7 @@
 /// before it. Both are for an engine of slowness 1; those of another speed take that many times as long.
 ///
 /// A recursive least-squares line with forgetting: engines and their load change over minutes, and some hundred answers are seen in one.
-class EnginePace
+class FirstEventModel
 {
 public:
     /// A first event came after so long on an engine of this slowness, with so many tokens to read, its own prompt and those before it.
--- a/src/placement/upstreampool.h
+++ b/src/placement/upstreampool.h
@@ -183,7 +183,7 @@
     std::map<InstanceName, Upstream> m_upstreams;
     /// Each service's part of them.
     std::map<ServiceName, std::vector<const Upstream *>> m_ofService;
-    std::map<ServiceName, EnginePace> m_engines;
+    std::map<ServiceName, FirstEventModel> m_engines;
     std::map<ServiceName, StreamPauses> m_pauses;
     std::map<VmName, Peer> m_peers;
     std::uint64_t m_backupNotices = 0;
