--- a/src/placement/pauseratioestimator.cpp
+++ b/src/placement/pauseratioestimator.cpp
@@ -17,7 +17,7 @@
 }
 
 /// A quantile by stochastic approximation: up by Part for each stream above it, down by the rest for each below.
-void StreamPauses::observed(double meanMs, double longestPauseMs)
+void PauseRatioEstimator::observed(double meanMs, double longestPauseMs)
 {
     if (meanMs <= 0 || longestPauseMs < meanMs) {
         return;
@@ -31,7 +31,7 @@
     m_ratio += Step * m_ratio * (ratio > m_ratio ? Part : Part - 1);
 }
 
-double StreamPauses::ratio() const
+double PauseRatioEstimator::ratio() const
 {
     return m_seen < LeastSeen ? 0 : m_ratio;
 }
--- a/src/placement/pauseratioestimator.h
+++ b/src/placement/pauseratioestimator.h
@@ -7,7 +7,7 @@
 ///
 /// An engine reads new prompts between the steps of the streams that it runs, part by part, so the pauses of these grow up to a bound that depends
 /// on its parts and steps. Both take a slow engine as many times as long, so one ratio holds for engines of all speeds.
-class StreamPauses
+class PauseRatioEstimator
 {
 public:
     void observed(double meanMs, double longestPauseMs);
--- a/src/placement/upstreampool.h
+++ b/src/placement/upstreampool.h
@@ -184,7 +184,7 @@
     /// Each service's part of them.
     std::map<ServiceName, std::vector<const Upstream *>> m_ofService;
     std::map<ServiceName, FirstEventModel> m_engines;
-    std::map<ServiceName, StreamPauses> m_pauses;
+    std::map<ServiceName, PauseRatioEstimator> m_pauses;
     std::map<VmName, Peer> m_peers;
     std::uint64_t m_backupNotices = 0;
     bool m_listInParts = false;
--- a/tests/placement/pauseratioestimatortest.cpp
+++ b/tests/placement/pauseratioestimatortest.cpp
@@ -6,7 +6,7 @@
 
 TEST_CASE("the ratio of pauses is one that most streams stay below")
 {
-    StreamPauses pauses;
+    PauseRatioEstimator pauses;
     CHECK(pauses.ratio() == 0);
     for (int i = 0; i < 1000; ++i) {
         // Ratios 1 to 10, as often.
@@ -18,7 +18,7 @@
 
 TEST_CASE("streams too short to tell, and a few, say nothing")
 {
-    StreamPauses pauses;
+    PauseRatioEstimator pauses;
     for (int i = 0; i < 100; ++i) {
         pauses.observed(0, 50);
     }
@@ -32,7 +32,7 @@
 // Engines change: another model, other prompts beside the streams.
 TEST_CASE("the ratio follows engines that pause longer than before")
 {
-    StreamPauses pauses;
+    PauseRatioEstimator pauses;
     for (int i = 0; i < 200; ++i) {
         pauses.observed(20, 40);
     }
