--- a/src/placement/listschedule.cpp
+++ b/src/placement/listschedule.cpp
@@ -24,14 +24,14 @@
     }
 }
 
-std::optional<ListReading> ListSchedule::next(bool fartherWanted, TimePoint now) const
+std::optional<ListRead> ListSchedule::next(bool fartherWanted, TimePoint now) const
 {
     if (!m_inParts) {
-        return now >= m_nextWhole ? std::optional(ListReading{.dataCentre = {}, .pageToken = {}}) : std::nullopt;
+        return now >= m_nextWhole ? std::optional(ListRead{.dataCentre = {}, .pageToken = {}}) : std::nullopt;
     }
     const auto own = m_nextPart.find(m_here);
     if (own == m_nextPart.end() || now >= own->second) {
-        return ListReading{.part = ListReading::Part::DataCentre, .dataCentre = m_here, .pageToken = {}};
+        return ListRead{.part = ListRead::Part::DataCentre, .dataCentre = m_here, .pageToken = {}};
     }
     const std::pair<const DataCentreName, TimePoint> *oldest = nullptr;
     for (const auto &part : m_nextPart) {
@@ -41,10 +41,10 @@
         oldest = &part;
     }
     if (fartherWanted && oldest) {
-        return ListReading{.part = ListReading::Part::DataCentre, .dataCentre = oldest->first, .pageToken = {}};
+        return ListRead{.part = ListRead::Part::DataCentre, .dataCentre = oldest->first, .pageToken = {}};
     }
     if (now >= m_nextSurvey) {
-        return ListReading{.part = ListReading::Part::Survey, .dataCentre = {}, .pageToken = m_surveyPage};
+        return ListRead{.part = ListRead::Part::Survey, .dataCentre = {}, .pageToken = m_surveyPage};
     }
     return {};
 }
@@ -76,16 +76,16 @@
     m_nextSurvey = now + (nextPage.empty() ? SurveyInterval : m_interval);
 }
 
-void ListSchedule::failed(const ListReading &reading, TimePoint now)
+void ListSchedule::failed(const ListRead &reading, TimePoint now)
 {
     switch (reading.part) {
-    case ListReading::Part::Whole:
+    case ListRead::Part::Whole:
         m_nextWhole = now + m_interval;
         break;
-    case ListReading::Part::DataCentre:
+    case ListRead::Part::DataCentre:
         partRead(reading.dataCentre, now);
         break;
-    case ListReading::Part::Survey:
+    case ListRead::Part::Survey:
         surveyed("", now);
         break;
     }
--- a/src/placement/listschedule.h
+++ b/src/placement/listschedule.h
@@ -10,7 +10,7 @@
 {
 
 /// What is read of the platform's list next.
-struct ListReading
+struct ListRead
 {
     enum class Part {
         Whole, ///< all of it; given up for the parts when it has many pages
@@ -42,7 +42,7 @@
     /// Everything is due again: what was read before is as old as the pause.
     void restart();
     /// What to read now, if anything is due.
-    std::optional<ListReading> next(bool fartherWanted, TimePoint now) const;
+    std::optional<ListRead> next(bool fartherWanted, TimePoint now) const;
 
     /// When nothing is due now: how long until something may be.
     Duration untilNextLook(TimePoint now) const;
@@ -63,7 +63,7 @@
     /// A page of the survey was read; the last one has no next.
     void surveyed(const std::string &nextPage, TimePoint now);
     /// The reading is given up; it is due again after the interval.
-    void failed(const ListReading &reading, TimePoint now);
+    void failed(const ListRead &reading, TimePoint now);
 
 private:
     const DataCentreName m_here;
--- a/src/proxy/instancelistreader.cpp
+++ b/src/proxy/instancelistreader.cpp
@@ -55,14 +55,14 @@
 void InstanceFeed::readNext()
 {
     const TimePoint now = EventLoop::now();
-    const std::optional<ListReading> reading = m_schedule.next(m_fartherWanted, now);
+    const std::optional<ListRead> reading = m_schedule.next(m_fartherWanted, now);
     if (!reading) {
         m_next.startOnce(m_schedule.untilNextLook(now));
         return;
     }
     m_reading = *reading;
     m_gathered = {};
-    if (m_reading.part == ListReading::Part::DataCentre) {
+    if (m_reading.part == ListRead::Part::DataCentre) {
         m_gathered.dataCentre = m_reading.dataCentre;
     }
     m_pages = 0;
@@ -114,13 +114,13 @@
     m_rejected += read.rejected;
     ++m_pages;
     m_reading.pageToken = read.nextPage;
-    if (m_reading.part == ListReading::Part::Survey) {
+    if (m_reading.part == ListRead::Part::Survey) {
         m_schedule.surveyed(read.nextPage, now);
         m_next.startOnce(Duration::zero());
         return;
     }
     m_gathered.instances.insert(m_gathered.instances.end(), read.instances.begin(), read.instances.end());
-    const bool isLong = m_reading.part == ListReading::Part::Whole && m_pages >= ListSchedule::MostWholePages && !read.nextPage.empty();
+    const bool isLong = m_reading.part == ListRead::Part::Whole && m_pages >= ListSchedule::MostWholePages && !read.nextPage.empty();
     if (isLong) {
         m_schedule.isLong();
         m_next.startOnce(Duration::zero());
@@ -137,7 +137,7 @@
 
 void InstanceFeed::takeLast(TimePoint now)
 {
-    if (m_reading.part == ListReading::Part::Whole) {
+    if (m_reading.part == ListRead::Part::Whole) {
         m_schedule.wholeRead(now);
     } else {
         m_schedule.partRead(m_reading.dataCentre, now);
--- a/src/proxy/instancelistreader.h
+++ b/src/proxy/instancelistreader.h
@@ -65,7 +65,7 @@
     int m_status = 0;
     std::string m_body;
     /// What is being read, with the token of the page that is asked for.
-    ListReading m_reading;
+    ListRead m_reading;
     InstanceList m_gathered;
     std::size_t m_pages = 0;
     std::size_t m_rejected = 0;
--- a/tests/placement/listscheduletest.cpp
+++ b/tests/placement/listscheduletest.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-using Part = ListReading::Part;
+using Part = ListRead::Part;
 
 constexpr TimePoint Start{std::chrono::seconds(100)};
 constexpr Duration Interval = std::chrono::seconds(1);
@@ -34,7 +34,7 @@
 std::set<std::string> readAt(ListSchedule &schedule, bool fartherWanted, TimePoint now)
 {
     std::set<std::string> read;
-    while (const std::optional<ListReading> reading = schedule.next(fartherWanted, now)) {
+    while (const std::optional<ListRead> reading = schedule.next(fartherWanted, now)) {
         if (reading->part != Part::DataCentre) {
             break;
         }
