--- a/src/proxy/instancelistreader.cpp
+++ b/src/proxy/instancelistreader.cpp
@@ -22,7 +22,7 @@
 
 }
 
-InstanceFeed::InstanceFeed(EventLoop &loop, InstanceListProtocol protocol, DataCentreName here, Duration interval)
+InstanceListReader::InstanceListReader(EventLoop &loop, InstanceListProtocol protocol, DataCentreName here, Duration interval)
     : m_loop(loop)
     , m_protocol(std::move(protocol))
     , m_schedule(std::move(here), interval)
@@ -31,20 +31,20 @@
 {
 }
 
-void InstanceFeed::start()
+void InstanceListReader::start()
 {
     m_schedule.restart();
     m_next.startOnce(Duration::zero());
 }
 
-void InstanceFeed::stop()
+void InstanceListReader::stop()
 {
     m_next.stop();
     m_retry.stop();
     m_call.reset();
 }
 
-void InstanceFeed::setFartherWanted(bool wanted)
+void InstanceListReader::setFartherWanted(bool wanted)
 {
     if (wanted != m_fartherWanted && m_schedule.isInParts()) {
         logChange("proxy", "farther-upstreams", {{"read", wanted ? "yes" : "no"}});
@@ -52,7 +52,7 @@
     m_fartherWanted = wanted;
 }
 
-void InstanceFeed::readNext()
+void InstanceListReader::readNext()
 {
     const TimePoint now = EventLoop::now();
     const std::optional<ListRead> reading = m_schedule.next(m_fartherWanted, now);
@@ -71,7 +71,7 @@
     fetch();
 }
 
-void InstanceFeed::fetch()
+void InstanceListReader::fetch()
 {
     m_status = 0;
     m_body.clear();
@@ -94,7 +94,7 @@
     m_call->start();
 }
 
-void InstanceFeed::takePage()
+void InstanceListReader::takePage()
 {
     if (m_status != StatusOk) {
         pageFailed("status " + std::to_string(m_status));
@@ -135,7 +135,7 @@
     }
 }
 
-void InstanceFeed::takeLast(TimePoint now)
+void InstanceListReader::takeLast(TimePoint now)
 {
     if (m_reading.part == ListRead::Part::Whole) {
         m_schedule.wholeRead(now);
@@ -148,7 +148,7 @@
     m_next.startOnce(Duration::zero());
 }
 
-void InstanceFeed::pageFailed(const std::string &why)
+void InstanceListReader::pageFailed(const std::string &why)
 {
     noteReadable(false, why);
     m_unreadable.emit();
@@ -161,7 +161,7 @@
     m_next.startOnce(Duration::zero());
 }
 
-void InstanceFeed::noteReadable(bool readable, const std::string &why)
+void InstanceListReader::noteReadable(bool readable, const std::string &why)
 {
     if (readable == m_readable) {
         return;
--- a/src/proxy/instancelistreader.h
+++ b/src/proxy/instancelistreader.h
@@ -23,10 +23,10 @@
 
 /// Reads the platform's list of upstreams, page after page, again and again. While it can't be read, the last list stays in force: it
 /// costs tries at upstreams that are gone, where an empty list would cost every request. Used by one task, in its loop.
-class InstanceFeed
+class InstanceListReader
 {
 public:
-    InstanceFeed(EventLoop &loop, InstanceListProtocol protocol, DataCentreName here, Duration interval);
+    InstanceListReader(EventLoop &loop, InstanceListProtocol protocol, DataCentreName here, Duration interval);
 
     void start();
     void stop();
--- a/src/proxy/placementhost.h
+++ b/src/proxy/placementhost.h
@@ -80,7 +80,7 @@
     std::unique_ptr<DatagramSocket> m_socket;
     PlacementClient m_client;
     PlacementServer m_server;
-    InstanceFeed m_feed;
+    InstanceListReader m_feed;
     /// When some VM had something here last.
     TimePoint m_usedAt{};
     bool m_reading = false;
--- a/tests/proxy/instancelistreadertest.cpp
+++ b/tests/proxy/instancelistreadertest.cpp
@@ -98,7 +98,7 @@
     EventLoop loop;
     PagedList list(loop, 2);
     list.refusedOnce = {"/all/1"};
-    InstanceFeed feed(loop, list.protocol(), DataCentreName{"dc-a"}, std::chrono::seconds(1));
+    InstanceListReader feed(loop, list.protocol(), DataCentreName{"dc-a"}, std::chrono::seconds(1));
     std::vector<InstanceList> read;
     int failures = 0;
     feed.unreadable().connect([&] { ++failures; });
@@ -121,7 +121,7 @@
 {
     EventLoop loop;
     PagedList list(loop, 8);
-    InstanceFeed feed(loop, list.protocol(), DataCentreName{"dc-a"}, std::chrono::milliseconds(50));
+    InstanceListReader feed(loop, list.protocol(), DataCentreName{"dc-a"}, std::chrono::milliseconds(50));
     feed.takeDataCentre(DataCentreName{"dc-b"});
     std::map<std::string, std::set<std::string>> parts;
     feed.read().connect([&](const InstanceList &part) {
