--- a/src/proxy/proxyplacement.cpp
+++ b/src/proxy/proxyplacement.cpp
@@ -16,7 +16,7 @@
 
 void ProxyTask::askForPlace(ProxyRequest &request)
 {
-    const ProxyOrder &order = request.order;
+    const ParsedRequest &order = request.order;
     request.place = m_placement->requestPlacement(SlotRequest{
         .service = order.service,
         .rank = order.rank.value,
--- a/src/proxy/proxyrequest.h
+++ b/src/proxy/proxyrequest.h
@@ -17,7 +17,7 @@
 {
 
 /// What a caller asked for, read and checked.
-struct ProxyOrder
+struct ParsedRequest
 {
     RequestId id;
     /// Keeps the route alive.
@@ -43,7 +43,7 @@
 /// One caller's request from its admission to its end: where it is, and what was sent.
 struct ProxyRequest
 {
-    ProxyRequest(LocalRequest localId, ProxyOrder given, std::shared_ptr<Exchange> caller)
+    ProxyRequest(LocalRequest localId, ParsedRequest given, std::shared_ptr<Exchange> caller)
         : local(localId)
         , order(std::move(given))
         , exchange(std::move(caller))
@@ -61,7 +61,7 @@
     }
 
     const LocalRequest local;
-    const ProxyOrder order;
+    const ParsedRequest order;
     std::shared_ptr<Exchange> exchange;
     Attempts attempts;
     std::set<InstanceName> tried;
--- a/src/proxy/proxytask.cpp
+++ b/src/proxy/proxytask.cpp
@@ -237,7 +237,7 @@
         return;
     }
     const LocalRequest local{m_nextLocal++};
-    auto &request = *m_requests.emplace(local, std::make_unique<ProxyRequest>(local, std::move(std::get<ProxyOrder>(made)), exchange)).first->second;
+    auto &request = *m_requests.emplace(local, std::make_unique<ProxyRequest>(local, std::move(std::get<ParsedRequest>(made)), exchange)).first->second;
     exchange->callerLeft().connect([this, local] { callerLeft(local); });
     request.timeout = std::make_unique<Timer>(m_loop, [this, local] { timedOut(local); });
     request.timeout->startOnce(request.order.deadline - now);
--- a/src/proxy/requestparser.cpp
+++ b/src/proxy/requestparser.cpp
@@ -103,19 +103,19 @@
 
 }
 
-std::variant<ProxyOrder, Refusal>
+std::variant<ParsedRequest, Refusal>
 makeOrder(const Exchange &exchange, const ProxyHeaders &headers, const std::shared_ptr<const RouteIndex> &routes, TimePoint arrived)
 {
     if (isAmbiguous(exchange)) {
         return refusal(ErrorKind::BadRequest, "the body's length or the host is given twice: send one Host, and one Content-Length or Transfer-Encoding");
     }
-    ProxyOrder order{.id = RequestId{exchange.header(headers.requestId.c_str())},
-                     .routes = routes,
-                     .service = {},
-                     .organisation = {},
-                     .rank = {},
-                     .arrived = arrived,
-                     .deadline = {}};
+    ParsedRequest order{.id = RequestId{exchange.header(headers.requestId.c_str())},
+                        .routes = routes,
+                        .service = {},
+                        .organisation = {},
+                        .rank = {},
+                        .arrived = arrived,
+                        .deadline = {}};
     if (order.id.value.empty()) {
         return refusal(ErrorKind::BadRequest, "the header " + headers.requestId + " is missing: send an id of your own with each try");
     }
