--- a/src/proxy/proxytask.cpp
+++ b/src/proxy/proxytask.cpp
@@ -231,7 +231,7 @@
 {
     const TimePoint now = EventLoop::now();
     const RequestId id{exchange->header(m_options.headers.requestId.c_str())};
-    auto made = makeOrder(*exchange, m_options.headers, m_routes, arrived);
+    auto made = parseRequest(*exchange, m_options.headers, m_routes, arrived);
     if (const Refusal *refusal = std::get_if<Refusal>(&made)) {
         refuse(*exchange, id, *refusal);
         return;
--- a/src/proxy/requestparser.cpp
+++ b/src/proxy/requestparser.cpp
@@ -104,7 +104,7 @@
 }
 
 std::variant<ParsedRequest, Refusal>
-makeOrder(const Exchange &exchange, const ProxyHeaders &headers, const std::shared_ptr<const RouteIndex> &routes, TimePoint arrived)
+parseRequest(const Exchange &exchange, const ProxyHeaders &headers, const std::shared_ptr<const RouteIndex> &routes, TimePoint arrived)
 {
     if (isAmbiguous(exchange)) {
         return refusal(ErrorKind::BadRequest, "the body's length or the host is given twice: send one Host, and one Content-Length or Transfer-Encoding");
--- a/src/proxy/requestparser.h
+++ b/src/proxy/requestparser.h
@@ -19,6 +19,6 @@
 /// Reads and checks a caller's request against the routes in force. The refusal's kinds: BadRequest, NotFound (no route), Unauthorised (no
 /// organisation holds the key). Its times count from the arrival.
 std::variant<ParsedRequest, Refusal>
-makeOrder(const Exchange &exchange, const ProxyHeaders &headers, const std::shared_ptr<const RouteIndex> &routes, TimePoint arrived);
+parseRequest(const Exchange &exchange, const ProxyHeaders &headers, const std::shared_ptr<const RouteIndex> &routes, TimePoint arrived);
 
 }
