--- a/src/proxy/proxyanswers.cpp
+++ b/src/proxy/proxyanswers.cpp
@@ -136,7 +136,7 @@
                {"rank", std::to_string(request.order.rank.value)},
                {"inputs", inputs}});
     m_versions[{request.order.service.value, to.version.value}].sent += 1;
-    const LocalRequest local = request.local;
+    const LocalRequestId local = request.local;
     request.call->head().connect([this, local](const AnswerHead &head) { takeHead(local, head); });
     request.call->data().connect([this, local](std::string_view bytes) { takeData(local, bytes); });
     request.call->finished().connect([this, local] { takeEnd(local); });
@@ -173,7 +173,7 @@
     return echoed && *echoed == request.order.id.value;
 }
 
-void ProxyTask::takeHead(LocalRequest local, const AnswerHead &head)
+void ProxyTask::takeHead(LocalRequestId local, const AnswerHead &head)
 {
     ProxyRequest *request = find(local);
     if (!request) {
@@ -205,7 +205,7 @@
     }
 }
 
-void ProxyTask::takeData(LocalRequest local, std::string_view bytes)
+void ProxyTask::takeData(LocalRequestId local, std::string_view bytes)
 {
     ProxyRequest *request = find(local);
     if (!request) {
@@ -247,7 +247,7 @@
     }
 }
 
-void ProxyTask::takeEnd(LocalRequest local)
+void ProxyTask::takeEnd(LocalRequestId local)
 {
     ProxyRequest *request = find(local);
     if (!request) {
@@ -275,7 +275,7 @@
     finish(*request, "answered", std::to_string(request->head.status));
 }
 
-void ProxyTask::takeFailure(LocalRequest local, CallFailure failure)
+void ProxyTask::takeFailure(LocalRequestId local, CallFailure failure)
 {
     ProxyRequest *request = find(local);
     if (!request) {
@@ -340,7 +340,7 @@
 {
     request.headPassedOn = true;
     addAnswerHeaders(request);
-    const LocalRequest local = request.local;
+    const LocalRequestId local = request.local;
     request.exchange->drained().connect([this, local] {
         ProxyRequest *drained = find(local);
         if (drained && drained->call) {
@@ -382,7 +382,7 @@
     finish(request, "failed", why);
 }
 
-void ProxyTask::callerLeft(LocalRequest local)
+void ProxyTask::callerLeft(LocalRequestId local)
 {
     ProxyRequest *request = find(local);
     if (!request) {
@@ -392,7 +392,7 @@
     finish(*request, "caller-left", "");
 }
 
-void ProxyTask::timedOut(LocalRequest local)
+void ProxyTask::timedOut(LocalRequestId local)
 {
     ProxyRequest *request = find(local);
     if (!request) {
--- a/src/proxy/proxyrequest.h
+++ b/src/proxy/proxyrequest.h
@@ -43,7 +43,7 @@
 /// One caller's request from its admission to its end: where it is, and what was sent.
 struct ProxyRequest
 {
-    ProxyRequest(LocalRequest localId, ParsedRequest given, std::shared_ptr<Exchange> caller)
+    ProxyRequest(LocalRequestId localId, ParsedRequest given, std::shared_ptr<Exchange> caller)
         : local(localId)
         , order(std::move(given))
         , exchange(std::move(caller))
@@ -60,7 +60,7 @@
         return order.route->kind() == v1::RESUMABLE_STREAMING;
     }
 
-    const LocalRequest local;
+    const LocalRequestId local;
     const ParsedRequest order;
     std::shared_ptr<Exchange> exchange;
     Attempts attempts;
--- a/src/proxy/proxytask.cpp
+++ b/src/proxy/proxytask.cpp
@@ -236,7 +236,7 @@
         refuse(*exchange, id, *refusal);
         return;
     }
-    const LocalRequest local{m_nextLocal++};
+    const LocalRequestId local{m_nextLocal++};
     auto &request = *m_requests.emplace(local, std::make_unique<ProxyRequest>(local, std::move(std::get<ParsedRequest>(made)), exchange)).first->second;
     exchange->callerLeft().connect([this, local] { callerLeft(local); });
     request.timeout = std::make_unique<Timer>(m_loop, [this, local] { timedOut(local); });
@@ -260,7 +260,7 @@
     exchange.reply(httpStatus(why.error.kind), "application/json", errorJson(why.error, RunOutcome::NotRun) + "\n");
 }
 
-ProxyRequest *ProxyTask::find(LocalRequest local)
+ProxyRequest *ProxyTask::find(LocalRequestId local)
 {
     const auto found = m_requests.find(local);
     return found == m_requests.end() ? nullptr : found->second.get();
--- a/src/proxy/proxytask.h
+++ b/src/proxy/proxytask.h
@@ -119,10 +119,10 @@
     void send(ProxyRequest &request, const UpstreamInstance &to, const std::string &inputs, TimePoint now);
     HeaderList headersFor(const ProxyRequest &request, const UpstreamInstance &to, TimePoint now) const;
     ProgressTimeouts timeoutsFor(const ProxyRequest &request, TimePoint now) const;
-    void takeHead(LocalRequest local, const AnswerHead &head);
-    void takeData(LocalRequest local, std::string_view bytes);
-    void takeEnd(LocalRequest local);
-    void takeFailure(LocalRequest local, CallFailure failure);
+    void takeHead(LocalRequestId local, const AnswerHead &head);
+    void takeData(LocalRequestId local, std::string_view bytes);
+    void takeEnd(LocalRequestId local);
+    void takeFailure(LocalRequestId local, CallFailure failure);
     bool isOwnAnswer(const ProxyRequest &request, const AnswerHead &head) const;
     bool saysNotRun(const AnswerHead &head) const;
     void attemptEnded(ProxyRequest &request, AttemptEnd end, v1::PlacementOutcome outcome);
@@ -136,15 +136,15 @@
     void passWholeAnswerOn(ProxyRequest &request);
     void answerRefusal(ProxyRequest &request, ErrorKind kind, const std::string &why, Duration retryAfter, const std::string &inputs = {});
     void answerFailure(ProxyRequest &request, ErrorKind kind, const std::string &why);
-    void callerLeft(LocalRequest local);
-    void timedOut(LocalRequest local);
+    void callerLeft(LocalRequestId local);
+    void timedOut(LocalRequestId local);
     void finish(ProxyRequest &request, const std::string &outcome, const std::string &why, const std::string &inputs = {});
     void cleanUp();
     void endDrainIfDone();
 
     void count(const ProxyRequest &request, bool good);
     void sendTally();
-    ProxyRequest *find(LocalRequest local);
+    ProxyRequest *find(LocalRequestId local);
 
     const ProxyOptions m_options;
     EventLoop m_loop;
@@ -166,9 +166,9 @@
     std::map<OrganisationName, ClosedLimit> m_closedLimits;
     std::map<ServiceName, RetryBudget> m_retries;
     /// Requests by the places they wait for or have.
-    std::map<PlacementId, LocalRequest> m_places;
+    std::map<PlacementId, LocalRequestId> m_places;
     std::map<std::pair<std::string, std::string>, VersionCount> m_versions;
-    std::map<LocalRequest, std::unique_ptr<ProxyRequest>> m_requests;
+    std::map<LocalRequestId, std::unique_ptr<ProxyRequest>> m_requests;
     std::uint64_t m_nextLocal = 1;
     /// Ended requests: their signals may be under way, so they are destroyed from the loop.
     std::vector<std::unique_ptr<ProxyRequest>> m_ended;
