--- a/src/proxy/proxytypes.h
+++ b/src/proxy/proxytypes.h
@@ -16,7 +16,7 @@
 {
 
 /// Handle of a request of this VM.
-using LocalRequestId = Strong<struct LocalRequestTag, std::uint64_t>;
+using LocalRequestId = Strong<struct LocalRequestIdTag, std::uint64_t>;
 
 /// One page of the platform's list.
 struct InstancePage
