--- a/src/placement/firsteventmodel.cpp
+++ b/src/placement/firsteventmodel.cpp
@@ -9,40 +9,40 @@
 {
 
 /// About the last 500 answers count.
-constexpr double Forgetting = 0.998;
-constexpr double LeastWeight = 10;
+constexpr double DecayPerAnswer = 0.998;
+constexpr double MinWeight = 10;
 
 }
 
-void FirstEventModel::observed(double tokens, double milliseconds, double slowness)
+void FirstEventModel::record(double tokens, double milliseconds, double slowness)
 {
-    const double normal = milliseconds / std::max(slowness, 0.01);
-    m_weight = Forgetting * m_weight + 1;
-    m_sumTokens = Forgetting * m_sumTokens + tokens;
-    m_sumMs = Forgetting * m_sumMs + normal;
-    m_sumTokensSquared = Forgetting * m_sumTokensSquared + tokens * tokens;
-    m_sumProduct = Forgetting * m_sumProduct + tokens * normal;
+    const double normalisedMs = milliseconds / std::max(slowness, 0.01);
+    m_weight = DecayPerAnswer * m_weight + 1;
+    m_sumTokens = DecayPerAnswer * m_sumTokens + tokens;
+    m_sumMs = DecayPerAnswer * m_sumMs + normalisedMs;
+    m_sumTokensSquared = DecayPerAnswer * m_sumTokensSquared + tokens * tokens;
+    m_sumProduct = DecayPerAnswer * m_sumProduct + tokens * normalisedMs;
 }
 
-double FirstEventModel::perToken() const
+double FirstEventModel::msPerToken() const
 {
-    const double spread = m_weight * m_sumTokensSquared - m_sumTokens * m_sumTokens;
-    return spread <= 0 ? 0 : std::max(0.0, (m_weight * m_sumProduct - m_sumTokens * m_sumMs) / spread);
+    const double determinant = m_weight * m_sumTokensSquared - m_sumTokens * m_sumTokens;
+    return determinant <= 0 ? 0 : std::max(0.0, (m_weight * m_sumProduct - m_sumTokens * m_sumMs) / determinant);
 }
 
 double FirstEventModel::predictedMs(double tokens, double slowness) const
 {
-    if (m_weight < LeastWeight) {
+    if (m_weight < MinWeight) {
         return 0;
     }
-    const double slope = perToken();
-    const double fixed = std::max(0.0, (m_sumMs - slope * m_sumTokens) / m_weight);
-    return slowness * (fixed + slope * tokens);
+    const double perToken = msPerToken();
+    const double fixedMs = std::max(0.0, (m_sumMs - perToken * m_sumTokens) / m_weight);
+    return slowness * (fixedMs + perToken * tokens);
 }
 
-double FirstEventModel::readingMs(double tokens, double slowness) const
+double FirstEventModel::predictedPrefillMs(double tokens, double slowness) const
 {
-    return m_weight < LeastWeight ? 0 : slowness * perToken() * tokens;
+    return m_weight < MinWeight ? 0 : slowness * msPerToken() * tokens;
 }
 
 }
--- a/src/placement/firsteventmodel.h
+++ b/src/placement/firsteventmodel.h
@@ -15,14 +15,14 @@
 {
 public:
     /// A first event came after so long on an engine of this slowness, with so many tokens to read, its own prompt and those before it.
-    void observed(double tokens, double milliseconds, double slowness);
+    void record(double tokens, double milliseconds, double slowness);
     /// Milliseconds to the first event; 0 while nothing was learned.
     double predictedMs(double tokens, double slowness) const;
     /// Of these, what the reading of the tokens takes; 0 while nothing was learned.
-    double readingMs(double tokens, double slowness) const;
+    double predictedPrefillMs(double tokens, double slowness) const;
 
 private:
-    double perToken() const;
+    double msPerToken() const;
 
     double m_weight = 0;
     double m_sumTokens = 0;
--- a/src/placement/fleetlimits.cpp
+++ b/src/placement/fleetlimits.cpp
@@ -14,25 +14,25 @@
 /// A few requests of each organisation, and short enough to follow a burst.
 constexpr std::chrono::duration<double> DemandWindow{2};
 /// Callers come back at least this much later, so that the level has changed.
-constexpr Duration ShortestWait = std::chrono::milliseconds(100);
-constexpr Duration LongestWait = std::chrono::seconds(5);
+constexpr Duration MinRetryAfter = std::chrono::milliseconds(100);
+constexpr Duration MaxRetryAfter = std::chrono::seconds(5);
 /// While several times the limit is asked for, most of those that come back at once are refused again: they are sent away for longer.
-constexpr std::chrono::duration<double> WaitPerOverload{0.1};
+constexpr std::chrono::duration<double> RetryAfterPerOverload{0.1};
 /// How much of the more urgent demand is left to it: what comes within the time that a refusal of it would last.
-constexpr double ReserveSeconds = 0.2;
+constexpr double UrgentReserveSeconds = 0.2;
 /// Of the tokens of a second.
-constexpr double SmallPart = 0.01;
+constexpr double SmallRequestRatio = 0.01;
 /// A server that begins knows nothing of what was admitted just before: half of the burst may be spent twice then. With less, callers near
 /// their limit would be refused for seconds.
-constexpr double FirstLevel = 0.5;
+constexpr double InitialLevelRatio = 0.5;
 /// A larger debt is forgiven: callers below the limit would pay for seconds for what others were given by mistake. With a quarter of a second,
 /// servers that heard of each other late gave out almost a quarter more than the limit in eight seconds.
-constexpr double MostDebtSeconds = 1;
+constexpr double MaxDebtSeconds = 1;
 
 /// What was admitted is told again so often though it has not changed, for those that missed the notice of the change.
-constexpr std::uint64_t NoticesBetweenSpends = 8;
+constexpr std::uint64_t NoticesPerSpendRepeat = 8;
 
-double seconds(Duration duration)
+double toSeconds(Duration duration)
 {
     return std::chrono::duration<double>(duration).count();
 }
@@ -41,12 +41,12 @@
 
 void FleetLimits::setRoutes(const v1::RouteTable &routes, TimePoint now)
 {
-    std::set<std::string> named;
+    std::set<std::string> configured;
     for (const v1::RoutedOrganisation &organisation : routes.organisations()) {
-        named.insert(organisation.name());
+        configured.insert(organisation.name());
         Bucket &bucket = m_buckets[organisation.name()];
         if (bucket.level) {
-            fill(bucket, now);
+            refill(bucket, now);
         }
         bucket.rate = static_cast<double>(organisation.rate_per_s());
         bucket.burst = static_cast<double>(organisation.burst());
@@ -54,7 +54,7 @@
             bucket.level = std::min(*bucket.level, bucket.burst + m_tolerance);
         }
     }
-    std::erase_if(m_buckets, [&](const auto &held) { return !named.contains(held.first); });
+    std::erase_if(m_buckets, [&](const auto &entry) { return !configured.contains(entry.first); });
 }
 
 void FleetLimits::setCoverage(double coverage, TimePoint now)
@@ -63,8 +63,8 @@
     // With nobody left to admit anything there is nothing to take from.
     if (next > 0 && m_coverage > 0 && next != m_coverage) {
         for (auto &[name, bucket] : m_buckets) {
-            fill(bucket, now);
-            yield(bucket, next);
+            refill(bucket, now);
+            scaleToCoverage(bucket, next);
         }
     }
     m_coverage = next;
@@ -72,100 +72,100 @@
 
 /// What a smaller part takes with it comes back with a larger one. Only that is scaled, not what was spent: a server that begins with one entry VM of many
 /// would count that VM's first request many times over.
-void FleetLimits::yield(Bucket &bucket, double coverage) const
+void FleetLimits::scaleToCoverage(Bucket &bucket, double coverage) const
 {
     if (coverage < m_coverage) {
-        const double lost = std::max(0.0, *bucket.level) * (1 - coverage / m_coverage);
-        *bucket.level -= lost;
-        bucket.yielded += lost;
+        const double removed = std::max(0.0, *bucket.level) * (1 - coverage / m_coverage);
+        *bucket.level -= removed;
+        bucket.withheld += removed;
         return;
     }
-    const double back = bucket.yielded * (coverage - m_coverage) / (1 - m_coverage);
-    *bucket.level += back;
-    bucket.yielded -= back;
+    const double restored = bucket.withheld * (coverage - m_coverage) / (1 - m_coverage);
+    *bucket.level += restored;
+    bucket.withheld -= restored;
 }
 
-void FleetLimits::fill(Bucket &bucket, TimePoint now) const
+void FleetLimits::refill(Bucket &bucket, TimePoint now) const
 {
     if (!bucket.level) {
-        const double whole = FirstLevel * bucket.burst + m_tolerance;
-        bucket.level = m_coverage * whole;
-        bucket.yielded = (1 - m_coverage) * whole;
-        bucket.filledAt = now;
+        const double initial = InitialLevelRatio * bucket.burst + m_tolerance;
+        bucket.level = m_coverage * initial;
+        bucket.withheld = (1 - m_coverage) * initial;
+        bucket.refilledAt = now;
         return;
     }
-    const double filled = *bucket.level + m_coverage * bucket.rate * seconds(now - bucket.filledAt);
-    bucket.level = std::min(filled, bucket.burst + m_tolerance);
-    bucket.filledAt = now;
+    const double refilled = *bucket.level + m_coverage * bucket.rate * toSeconds(now - bucket.refilledAt);
+    bucket.level = std::min(refilled, bucket.burst + m_tolerance);
+    bucket.refilledAt = now;
 }
 
 void FleetLimits::charge(Bucket &bucket, std::int64_t cost)
 {
-    bucket.level = std::max(*bucket.level - static_cast<double>(cost), -MostDebtSeconds * bucket.rate);
+    bucket.level = std::max(*bucket.level - static_cast<double>(cost), -MaxDebtSeconds * bucket.rate);
 }
 
-void FleetLimits::Demand::add(double cost, TimePoint now)
+void FleetLimits::DecayingRate::record(double cost, TimePoint now)
 {
-    perSecond = value(now) + cost / DemandWindow.count();
-    at = now;
+    ratePerSecond = currentRate(now) + cost / DemandWindow.count();
+    updatedAt = now;
 }
 
-double FleetLimits::Demand::value(TimePoint now) const
+double FleetLimits::DecayingRate::currentRate(TimePoint now) const
 {
-    return perSecond * std::exp(-seconds(now - at) / DemandWindow.count());
+    return ratePerSecond * std::exp(-toSeconds(now - updatedAt) / DemandWindow.count());
 }
 
 /// An organisation over its limit takes whatever comes in the moment it comes, so that urgent requests are refused for what routine ones have just taken.
 /// What more urgent ones ask for in a moment is left to them. A request that is small beside the limit costs them nothing.
-double FleetLimits::reserve(const Bucket &bucket, std::uint64_t cost, PriorityRank rank, TimePoint now) const
+double FleetLimits::reserveForUrgent(const Bucket &bucket, std::uint64_t cost, PriorityRank rank, TimePoint now) const
 {
-    const bool within = bucket.asked.value(now) <= m_coverage * bucket.rate;
-    if (within || static_cast<double>(cost) < SmallPart * bucket.rate) {
+    const bool isWithinLimit = bucket.demand.currentRate(now) <= m_coverage * bucket.rate;
+    if (isWithinLimit || static_cast<double>(cost) < SmallRequestRatio * bucket.rate) {
         return 0;
     }
-    double moreUrgent = 0;
-    for (const auto &[other, demand] : bucket.askedByRank) {
-        moreUrgent += other < rank ? demand.value(now) : 0;
+    double urgentRate = 0;
+    for (const auto &[other, demand] : bucket.demandByRank) {
+        urgentRate += other < rank ? demand.currentRate(now) : 0;
     }
-    return ReserveSeconds * moreUrgent;
+    return UrgentReserveSeconds * urgentRate;
 }
 
-std::optional<Duration> FleetLimits::take(const std::string &organisation, std::uint64_t cost, PriorityRank rank, TimePoint now)
+std::optional<Duration> FleetLimits::tryAdmit(const std::string &organisation, std::uint64_t cost, PriorityRank rank, TimePoint now)
 {
     const auto found = m_buckets.find(organisation);
     if (found == m_buckets.end() || found->second.rate == 0) {
         return {};
     }
     Bucket &bucket = found->second;
-    fill(bucket, now);
-    bucket.asked.add(static_cast<double>(cost), now);
-    bucket.askedByRank[rank].add(static_cast<double>(cost), now);
-    const double kept = reserve(bucket, cost, rank, now);
+    refill(bucket, now);
+    bucket.demand.record(static_cast<double>(cost), now);
+    bucket.demandByRank[rank].record(static_cast<double>(cost), now);
+    const double reserved = reserveForUrgent(bucket, cost, rank, now);
     // A request may take the level below zero: one that is larger than the whole burst would never pass otherwise.
-    if (*bucket.level > kept) {
+    if (*bucket.level > reserved) {
         bucket.admitted += static_cast<std::int64_t>(cost);
-        m_spendsChanged = true;
+        m_spendsChangedSinceNotice = true;
         charge(bucket, static_cast<std::int64_t>(cost));
         return {};
     }
     const double share = std::max(m_coverage, 0.01) * bucket.rate;
-    const double overload = std::max(0.0, bucket.asked.value(now) / share - 1);
-    const std::chrono::duration<double> wait((kept - *bucket.level) / share + overload * WaitPerOverload.count());
-    return std::clamp(std::chrono::duration_cast<Duration>(wait), ShortestWait, LongestWait);
+    const double overload = std::max(0.0, bucket.demand.currentRate(now) / share - 1);
+    const std::chrono::duration<double> wait((reserved - *bucket.level) / share + overload * RetryAfterPerOverload.count());
+    return std::clamp(std::chrono::duration_cast<Duration>(wait), MinRetryAfter, MaxRetryAfter);
 }
 
-void FleetLimits::giveBack(const std::string &organisation, std::uint64_t cost)
+void FleetLimits::refund(const std::string &organisation, std::uint64_t cost)
 {
     const auto found = m_buckets.find(organisation);
     if (found == m_buckets.end() || !found->second.level) {
         return;
     }
     found->second.admitted -= static_cast<std::int64_t>(cost);
-    m_spendsChanged = true;
+    m_spendsChangedSinceNotice = true;
     *found->second.level += static_cast<double>(cost);
 }
 
-Duration FleetLimits::closedFor(const std::string &organisation) const
+Duration FleetLimits::timeUntilOpen(const std::string &organisation) const
 {
     const auto found = m_buckets.find(organisation);
     if (found == m_buckets.end() || found->second.rate == 0 || found->second.level.value_or(1) > 0) {
@@ -175,31 +175,31 @@
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(-*found->second.level / found->second.rate));
 }
 
-std::string FleetLimits::inputs(const std::string &organisation) const
+std::string FleetLimits::describeDecision(const std::string &organisation) const
 {
     const auto found = m_buckets.find(organisation);
     if (found == m_buckets.end()) {
         return "organisation=" + organisation;
     }
     const Bucket &bucket = found->second;
-    const auto whole = [](double value) { return std::to_string(static_cast<std::int64_t>(value)); };
-    return "organisation=" + organisation + " level=" + whole(bucket.level.value_or(0)) + " rate=" + whole(bucket.rate)
-        + " asked_per_s=" + whole(bucket.asked.perSecond) + " coverage=" + std::to_string(m_coverage);
+    const auto wholeNumber = [](double number) { return std::to_string(static_cast<std::int64_t>(number)); };
+    return "organisation=" + organisation + " level=" + wholeNumber(bucket.level.value_or(0)) + " rate=" + wholeNumber(bucket.rate)
+        + " asked_per_s=" + wholeNumber(bucket.demand.ratePerSecond) + " coverage=" + std::to_string(m_coverage);
 }
 
-void FleetLimits::handleNotice(const VmName &from, const v1::LoadNotice &notice, bool adopt, TimePoint now)
+void FleetLimits::handleNotice(const VmName &from, const v1::LoadNotice &notice, bool adoptLevels, TimePoint now)
 {
     if (notice.spends().empty()) {
         return; // They are as they were told last.
     }
     Peer &peer = m_peers[from];
     // What a server counted before it was first heard of belongs to the time before. A process that restarted counts from zero again.
-    const bool isNew = peer.incarnation == 0;
+    const bool isFirstNotice = peer.incarnation == 0;
     const bool restarted = peer.incarnation != notice.incarnation();
     if (!restarted && notice.sequence() <= peer.sequence) {
         return;
     }
-    const std::map<std::string, std::int64_t> before = restarted ? std::map<std::string, std::int64_t>() : std::exchange(peer.admitted, {});
+    const std::map<std::string, std::int64_t> admittedBefore = restarted ? std::map<std::string, std::int64_t>() : std::exchange(peer.admitted, {});
     peer = Peer{.incarnation = notice.incarnation(), .sequence = notice.sequence(), .admitted = {}};
     for (const v1::OrganisationSpend &spend : notice.spends()) {
         peer.admitted[spend.organisation()] = spend.admitted();
@@ -208,27 +208,27 @@
             continue;
         }
         Bucket &bucket = found->second;
-        if ((adopt || !bucket.level) && spend.has_level()) {
+        if ((adoptLevels || !bucket.level) && spend.has_level()) {
             bucket.level = static_cast<double>(spend.level());
-            bucket.yielded = 0;
-            bucket.filledAt = now;
+            bucket.withheld = 0;
+            bucket.refilledAt = now;
         }
-        if (adopt) {
+        if (adoptLevels) {
             continue;
         }
-        const auto known = before.find(spend.organisation());
-        const std::int64_t counted = known == before.end() ? 0 : known->second;
-        const std::int64_t grown = isNew ? 0 : spend.admitted() - counted;
-        fill(bucket, now);
-        charge(bucket, grown);
-        bucket.asked.add(static_cast<double>(std::max<std::int64_t>(grown, 0)), now);
+        const auto previous = admittedBefore.find(spend.organisation());
+        const std::int64_t admittedThen = previous == admittedBefore.end() ? 0 : previous->second;
+        const std::int64_t newlyAdmitted = isFirstNotice ? 0 : spend.admitted() - admittedThen;
+        refill(bucket, now);
+        charge(bucket, newlyAdmitted);
+        bucket.demand.record(static_cast<double>(std::max<std::int64_t>(newlyAdmitted, 0)), now);
     }
 }
 
 void FleetLimits::writeNotice(v1::LoadNotice &notice, bool withLevels, TimePoint now)
 {
-    const bool due = std::exchange(m_spendsChanged, false) || withLevels || notice.sequence() % NoticesBetweenSpends == 0;
-    if (!due) {
+    const bool isDue = std::exchange(m_spendsChangedSinceNotice, false) || withLevels || notice.sequence() % NoticesPerSpendRepeat == 0;
+    if (!isDue) {
         return;
     }
     for (const auto &[name, bucket] : m_buckets) {
@@ -239,9 +239,9 @@
         spend.set_organisation(name);
         spend.set_admitted(bucket.admitted);
         if (withLevels) {
-            Bucket filled = bucket;
-            fill(filled, now);
-            spend.set_level(static_cast<std::int64_t>(*filled.level));
+            Bucket refilled = bucket;
+            refill(refilled, now);
+            spend.set_level(static_cast<std::int64_t>(*refilled.level));
         }
     }
 }
--- a/src/placement/fleetlimits.h
+++ b/src/placement/fleetlimits.h
@@ -35,29 +35,29 @@
     void setCoverage(double coverage, TimePoint now);
     /// What another server's process has admitted since its start, and what it takes the levels for.
     /// While nobody asks here, its levels are taken over.
-    void handleNotice(const VmName &from, const v1::LoadNotice &notice, bool adopt, TimePoint now);
+    void handleNotice(const VmName &from, const v1::LoadNotice &notice, bool adoptLevels, TimePoint now);
     /// For notices: all that was admitted here if any of it changed, and by turns; the levels too if the receiver may have to go on from them.
     void writeNotice(v1::LoadNotice &notice, bool withLevels, TimePoint now);
 
     /// Admits the cost. None: admitted; otherwise how long until a request like it is likely to pass. While an organisation asks for more than its limit,
     /// requests of lower ranks leave a reserve to the more urgent ones.
-    std::optional<Duration> take(const std::string &organisation, std::uint64_t cost, PriorityRank rank, TimePoint now);
+    std::optional<Duration> tryAdmit(const std::string &organisation, std::uint64_t cost, PriorityRank rank, TimePoint now);
     /// Admitted, and refused after all for another reason.
-    void giveBack(const std::string &organisation, std::uint64_t cost);
+    void refund(const std::string &organisation, std::uint64_t cost);
     /// How long no request of it can pass, unless something is given back.
-    Duration closedFor(const std::string &organisation) const;
+    Duration timeUntilOpen(const std::string &organisation) const;
     /// What the last decision about the organisation was made from, for the log.
-    std::string inputs(const std::string &organisation) const;
+    std::string describeDecision(const std::string &organisation) const;
 
 private:
     /// What is asked for a second, averaged over some seconds.
-    struct Demand
+    struct DecayingRate
     {
-        double perSecond = 0;
-        TimePoint at;
+        double ratePerSecond = 0;
+        TimePoint updatedAt;
 
-        void add(double cost, TimePoint now);
-        double value(TimePoint now) const;
+        void record(double cost, TimePoint now);
+        double currentRate(TimePoint now) const;
     };
     struct Bucket
     {
@@ -66,14 +66,14 @@
         double burst = 0;
         std::optional<double> level;
         /// What belongs to the VMs that are not covered; it comes back as they are heard of.
-        double yielded = 0;
-        TimePoint filledAt;
+        double withheld = 0;
+        TimePoint refilledAt;
         /// Admitted here since the start of the process.
         std::int64_t admitted = 0;
         /// Here and elsewhere.
-        Demand asked;
+        DecayingRate demand;
         /// Here.
-        std::map<PriorityRank, Demand> askedByRank;
+        std::map<PriorityRank, DecayingRate> demandByRank;
     };
     struct Peer
     {
@@ -82,15 +82,15 @@
         std::map<std::string, std::int64_t> admitted;
     };
 
-    void fill(Bucket &bucket, TimePoint now) const;
-    void yield(Bucket &bucket, double coverage) const;
+    void refill(Bucket &bucket, TimePoint now) const;
+    void scaleToCoverage(Bucket &bucket, double coverage) const;
     static void charge(Bucket &bucket, std::int64_t cost);
-    double reserve(const Bucket &bucket, std::uint64_t cost, PriorityRank rank, TimePoint now) const;
+    double reserveForUrgent(const Bucket &bucket, std::uint64_t cost, PriorityRank rank, TimePoint now) const;
 
     const double m_tolerance;
     double m_coverage = 0;
     /// Since the last notice.
-    bool m_spendsChanged = false;
+    bool m_spendsChangedSinceNotice = false;
     std::map<std::string, Bucket> m_buckets;
     std::map<VmName, Peer> m_peers;
 };
--- a/src/placement/listschedule.cpp
+++ b/src/placement/listschedule.cpp
@@ -9,84 +9,84 @@
 {
 
 /// Between two surveys. Data centres come and go with the platform's building work, not with its load.
-constexpr Duration SurveyInterval = std::chrono::seconds(60);
+constexpr Duration DiscoveryInterval = std::chrono::seconds(60);
 /// The farther parts may be wanted at any moment.
-constexpr Duration LookInterval = std::chrono::milliseconds(100);
+constexpr Duration CheckInterval = std::chrono::milliseconds(100);
 
 }
 
-void ListSchedule::restart()
+void ListSchedule::reset()
 {
-    m_nextWhole = {};
+    m_wholeDueAt = {};
     m_inParts = false;
-    for (auto &[dataCentre, due] : m_nextPart) {
-        due = {};
+    for (auto &[dataCentre, dueAt] : m_partsDueAt) {
+        dueAt = {};
     }
 }
 
-std::optional<ListRead> ListSchedule::next(bool fartherWanted, TimePoint now) const
+std::optional<ListRead> ListSchedule::nextRead(bool remoteWanted, TimePoint now) const
 {
     if (!m_inParts) {
-        return now >= m_nextWhole ? std::optional(ListRead{.dataCentre = {}, .pageToken = {}}) : std::nullopt;
+        return now >= m_wholeDueAt ? std::optional(ListRead{.dataCentre = {}, .pageToken = {}}) : std::nullopt;
     }
-    const auto own = m_nextPart.find(m_here);
-    if (own == m_nextPart.end() || now >= own->second) {
-        return ListRead{.part = ListRead::Part::DataCentre, .dataCentre = m_here, .pageToken = {}};
+    const auto own = m_partsDueAt.find(m_localDataCentre);
+    if (own == m_partsDueAt.end() || now >= own->second) {
+        return ListRead{.scope = ListRead::Scope::DataCentre, .dataCentre = m_localDataCentre, .pageToken = {}};
     }
     const std::pair<const DataCentreName, TimePoint> *oldest = nullptr;
-    for (const auto &part : m_nextPart) {
-        if (part.first == m_here || now < part.second || (oldest && oldest->second <= part.second)) {
+    for (const auto &part : m_partsDueAt) {
+        if (part.first == m_localDataCentre || now < part.second || (oldest && oldest->second <= part.second)) {
             continue;
         }
         oldest = &part;
     }
-    if (fartherWanted && oldest) {
-        return ListRead{.part = ListRead::Part::DataCentre, .dataCentre = oldest->first, .pageToken = {}};
+    if (remoteWanted && oldest) {
+        return ListRead{.scope = ListRead::Scope::DataCentre, .dataCentre = oldest->first, .pageToken = {}};
     }
-    if (now >= m_nextSurvey) {
-        return ListRead{.part = ListRead::Part::Survey, .dataCentre = {}, .pageToken = m_surveyPage};
+    if (now >= m_discoveryDueAt) {
+        return ListRead{.scope = ListRead::Scope::Discovery, .dataCentre = {}, .pageToken = m_discoveryPageToken};
     }
     return {};
 }
 
-Duration ListSchedule::untilNextLook(TimePoint now) const
+Duration ListSchedule::timeUntilNextCheck(TimePoint now) const
 {
-    return m_inParts ? LookInterval : std::max(Duration::zero(), m_nextWhole - now);
+    return m_inParts ? CheckInterval : std::max(Duration::zero(), m_wholeDueAt - now);
 }
 
-void ListSchedule::known(const DataCentreName &dataCentre)
+void ListSchedule::addDataCentre(const DataCentreName &dataCentre)
 {
-    m_nextPart.try_emplace(dataCentre);
+    m_partsDueAt.try_emplace(dataCentre);
 }
 
-void ListSchedule::wholeRead(TimePoint now)
+void ListSchedule::onWholeRead(TimePoint now)
 {
     m_inParts = false;
-    m_nextWhole = now + m_interval;
+    m_wholeDueAt = now + m_interval;
 }
 
-void ListSchedule::partRead(const DataCentreName &dataCentre, TimePoint now)
+void ListSchedule::onPartRead(const DataCentreName &dataCentre, TimePoint now)
 {
-    m_nextPart[dataCentre] = now + m_interval;
+    m_partsDueAt[dataCentre] = now + m_interval;
 }
 
-void ListSchedule::surveyed(const std::string &nextPage, TimePoint now)
+void ListSchedule::onDiscoveryPageRead(const std::string &nextPage, TimePoint now)
 {
-    m_surveyPage = nextPage;
-    m_nextSurvey = now + (nextPage.empty() ? SurveyInterval : m_interval);
+    m_discoveryPageToken = nextPage;
+    m_discoveryDueAt = now + (nextPage.empty() ? DiscoveryInterval : m_interval);
 }
 
-void ListSchedule::failed(const ListRead &reading, TimePoint now)
+void ListSchedule::onReadFailed(const ListRead &failedRead, TimePoint now)
 {
-    switch (reading.part) {
-    case ListRead::Part::Whole:
-        m_nextWhole = now + m_interval;
+    switch (failedRead.scope) {
+    case ListRead::Scope::Whole:
+        m_wholeDueAt = now + m_interval;
         break;
-    case ListRead::Part::DataCentre:
-        partRead(reading.dataCentre, now);
+    case ListRead::Scope::DataCentre:
+        onPartRead(failedRead.dataCentre, now);
         break;
-    case ListRead::Part::Survey:
-        surveyed("", now);
+    case ListRead::Scope::Discovery:
+        onDiscoveryPageRead("", now);
         break;
     }
 }
--- a/src/placement/listschedule.h
+++ b/src/placement/listschedule.h
@@ -12,12 +12,12 @@
 /// What is read of the platform's list next.
 struct ListRead
 {
-    enum class Part {
+    enum class Scope {
         Whole, ///< all of it; given up for the parts when it has many pages
         DataCentre, ///< the upstreams of one data centre
-        Survey, ///< one page of the whole, only to learn which data centres there are
+        Discovery, ///< one page of the whole, only to learn which data centres there are
     };
-    Part part = Part::Whole;
+    Scope scope = Scope::Whole;
     DataCentreName dataCentre;
     /// Of the first page.
     std::string pageToken;
@@ -31,49 +31,49 @@
 {
 public:
     /// More pages than these are not read whole.
-    static constexpr std::size_t MostWholePages = 2;
+    static constexpr std::size_t MaxWholePages = 2;
 
-    ListSchedule(DataCentreName here, Duration interval)
-        : m_here(std::move(here))
+    ListSchedule(DataCentreName localDataCentre, Duration interval)
+        : m_localDataCentre(std::move(localDataCentre))
         , m_interval(interval)
     {
     }
 
     /// Everything is due again: what was read before is as old as the pause.
-    void restart();
+    void reset();
     /// What to read now, if anything is due.
-    std::optional<ListRead> next(bool fartherWanted, TimePoint now) const;
+    std::optional<ListRead> nextRead(bool remoteWanted, TimePoint now) const;
 
     /// When nothing is due now: how long until something may be.
-    Duration untilNextLook(TimePoint now) const;
+    Duration timeUntilNextCheck(TimePoint now) const;
 
     /// A data centre that has upstreams or entry VMs.
-    void known(const DataCentreName &dataCentre);
-    void wholeRead(TimePoint now);
+    void addDataCentre(const DataCentreName &dataCentre);
+    void onWholeRead(TimePoint now);
     /// The whole has more pages than are read at a time.
-    void isLong()
+    void switchToParts()
     {
         m_inParts = true;
     }
-    bool isInParts() const
+    bool readsInParts() const
     {
         return m_inParts;
     }
-    void partRead(const DataCentreName &dataCentre, TimePoint now);
+    void onPartRead(const DataCentreName &dataCentre, TimePoint now);
     /// A page of the survey was read; the last one has no next.
-    void surveyed(const std::string &nextPage, TimePoint now);
+    void onDiscoveryPageRead(const std::string &nextPage, TimePoint now);
     /// The reading is given up; it is due again after the interval.
-    void failed(const ListRead &reading, TimePoint now);
+    void onReadFailed(const ListRead &failedRead, TimePoint now);
 
 private:
-    const DataCentreName m_here;
+    const DataCentreName m_localDataCentre;
     const Duration m_interval;
     bool m_inParts = false;
-    TimePoint m_nextWhole{};
+    TimePoint m_wholeDueAt{};
     /// When each data centre's part is due; farther ones only while they are wanted.
-    std::map<DataCentreName, TimePoint> m_nextPart;
-    TimePoint m_nextSurvey{};
-    std::string m_surveyPage;
+    std::map<DataCentreName, TimePoint> m_partsDueAt;
+    TimePoint m_discoveryDueAt{};
+    std::string m_discoveryPageToken;
 };
 
 }
--- a/src/placement/pauseratioestimator.cpp
+++ b/src/placement/pauseratioestimator.cpp
@@ -9,31 +9,31 @@
 {
 
 /// Streams that are expected to stay below the ratio.
-constexpr double Part = 0.8;
+constexpr double Quantile = 0.8;
 /// How far one stream moves the ratio: about the last hundred count.
-constexpr double Step = 0.05;
-constexpr int LeastSeen = 20;
+constexpr double StepSize = 0.05;
+constexpr int MinStreams = 20;
 
 }
 
 /// A quantile by stochastic approximation: up by Part for each stream above it, down by the rest for each below.
-void PauseRatioEstimator::observed(double meanMs, double longestPauseMs)
+void PauseRatioEstimator::record(double meanMs, double longestPauseMs)
 {
     if (meanMs <= 0 || longestPauseMs < meanMs) {
         return;
     }
     const double ratio = longestPauseMs / meanMs;
-    m_seen = std::min(m_seen + 1, LeastSeen);
+    m_streams = std::min(m_streams + 1, MinStreams);
     if (m_ratio == 0) {
         m_ratio = ratio;
         return;
     }
-    m_ratio += Step * m_ratio * (ratio > m_ratio ? Part : Part - 1);
+    m_ratio += StepSize * m_ratio * (ratio > m_ratio ? Quantile : Quantile - 1);
 }
 
 double PauseRatioEstimator::ratio() const
 {
-    return m_seen < LeastSeen ? 0 : m_ratio;
+    return m_streams < MinStreams ? 0 : m_ratio;
 }
 
 }
--- a/src/placement/pauseratioestimator.h
+++ b/src/placement/pauseratioestimator.h
@@ -10,13 +10,13 @@
 class PauseRatioEstimator
 {
 public:
-    void observed(double meanMs, double longestPauseMs);
+    void record(double meanMs, double longestPauseMs);
     /// Four of five streams stay below it; 0 while too few were seen.
     double ratio() const;
 
 private:
     double m_ratio = 0;
-    int m_seen = 0;
+    int m_streams = 0;
 };
 
 }
--- a/src/placement/placementclient.cpp
+++ b/src/placement/placementclient.cpp
@@ -12,13 +12,13 @@
 {
 
 /// Five signs of life (PlacementServer, 30 ms apart). A VM whose CPU quota is used up stands still for a tenth of a second at most.
-constexpr Duration SilenceLimit = std::chrono::milliseconds(150);
+constexpr Duration ServerTimeout = std::chrono::milliseconds(150);
 /// A VM that restarted or was frozen is back in some seconds; asked sooner, each try costs a silence.
-constexpr Duration PassOver = std::chrono::seconds(3);
+constexpr Duration ExclusionTime = std::chrono::seconds(3);
 /// At some 65 bytes an ask this is 26 KB, under half of what a datagram carries; the rest is told when these have ended.
-constexpr std::size_t MostTold = 400;
+constexpr std::size_t MaxRequestsPerState = 400;
 
-std::string inputsOf(const v1::PlacementGrant &grant, const VmName &from)
+std::string describeInputs(const v1::PlacementGrant &grant, const VmName &from)
 {
     return "tokens_to_read=" + std::to_string(grant.tokens_to_read()) + " in_flight=" + std::to_string(grant.in_flight())
         + " predicted_ms=" + std::to_string(grant.predicted_ms()) + " list_age_ms=" + std::to_string(grant.list_age_ms()) + " placed_by=" + from.value;
@@ -28,145 +28,145 @@
 
 void PlacementClient::setCandidates(const v1::FleetTally &fleet)
 {
-    m_ranked.clear();
+    m_rankedServers.clear();
     for (const v1::PlacementVm &vm : fleet.placement_vms()) {
-        m_ranked[DataCentreName{vm.data_centre()}].push_back(VmName{vm.vm()});
+        m_rankedServers[DataCentreName{vm.data_centre()}].push_back(VmName{vm.vm()});
     }
-    for (auto &[dataCentre, vms] : m_ranked) {
+    for (auto &[dataCentre, vms] : m_rankedServers) {
         std::ranges::sort(vms, {}, placementOrder);
     }
 }
 
 const VmName &PlacementClient::server(TimePoint now) const
 {
-    const auto here = m_ranked.find(m_here);
-    if (here == m_ranked.end()) {
+    const auto localDataCentre = m_rankedServers.find(m_localDataCentre);
+    if (localDataCentre == m_rankedServers.end()) {
         return m_self;
     }
-    for (const VmName &vm : here->second) {
-        const auto passedOver = m_passedOverUntil.find(vm);
-        if (passedOver == m_passedOverUntil.end() || passedOver->second <= now) {
+    for (const VmName &vm : localDataCentre->second) {
+        const auto excluded = m_excludedUntil.find(vm);
+        if (excluded == m_excludedUntil.end() || excluded->second <= now) {
             return vm;
         }
     }
     return m_self;
 }
 
-PlacementId PlacementClient::requestPlacement(SlotRequest wish, TimePoint now)
+PlacementId PlacementClient::requestPlacement(SlotRequest request, TimePoint now)
 {
     if (!anyWaiting()) {
-        m_heard = now;
+        m_lastReceivedAt = now;
     }
-    ++m_waiting;
+    ++m_waitingCount;
     const PlacementId id{++m_lastId};
-    m_held.emplace(id, Held{.wish = std::move(wish), .upstream = {}});
+    m_requests.emplace(id, TrackedRequest{.request = std::move(request), .upstream = {}});
     return id;
 }
 
 void PlacementClient::recordFirstEvent(PlacementId id, Duration after)
 {
-    if (const auto held = m_held.find(id); held != m_held.end()) {
-        held->second.firstEventMs = static_cast<std::uint32_t>(std::max<std::int64_t>(1, wholeMilliseconds(after)));
-        held->second.toldIn = 0;
+    if (const auto tracked = m_requests.find(id); tracked != m_requests.end()) {
+        tracked->second.firstEventMs = static_cast<std::uint32_t>(std::max<std::int64_t>(1, wholeMilliseconds(after)));
+        tracked->second.firstSentInState = 0;
     }
 }
 
 void PlacementClient::recordEarlyPace(PlacementId id, double paceMs)
 {
-    if (const auto held = m_held.find(id); held != m_held.end()) {
-        held->second.earlyPaceMs = paceMs;
-        held->second.toldIn = 0;
+    if (const auto tracked = m_requests.find(id); tracked != m_requests.end()) {
+        tracked->second.earlyPaceMs = paceMs;
+        tracked->second.firstSentInState = 0;
     }
 }
 
 void PlacementClient::ended(PlacementId id, v1::PlacementOutcome outcome, const AnswerPace &pace)
 {
-    const auto held = m_held.find(id);
-    if (held == m_held.end()) {
+    const auto tracked = m_requests.find(id);
+    if (tracked == m_requests.end()) {
         return;
     }
-    if (held->second.placed) {
-        v1::EndedRequest &ended = m_ended.emplace_back();
+    if (tracked->second.placed) {
+        v1::EndedRequest &ended = m_endedRequests.emplace_back();
         ended.set_id(id.value);
-        ended.set_upstream(held->second.upstream.value);
+        ended.set_upstream(tracked->second.upstream.value);
         ended.set_outcome(outcome);
         ended.set_pace_ms(pace.meanMs);
         ended.set_longest_pause_ms(pace.longestPauseMs);
     } else {
-        --m_waiting;
+        --m_waitingCount;
     }
-    m_held.erase(held);
+    m_requests.erase(tracked);
 }
 
 v1::EntryState PlacementClient::state(TimePoint now)
 {
-    if (server(now) != m_confirmedBy) {
-        m_confirmedBy = server(now);
-        forgetConfirmed();
+    if (server(now) != m_confirmingServer) {
+        m_confirmingServer = server(now);
+        resetConfirmed();
     }
     v1::EntryState state;
     state.set_incarnation(m_incarnation);
-    state.set_sequence(++m_states);
-    state.mutable_ended()->Add(m_ended.begin(), m_ended.end());
-    m_ended.clear();
-    std::size_t told = 0;
-    for (auto &[id, held] : m_held) {
-        if (++told > MostTold) {
+    state.set_sequence(++m_lastStateSequence);
+    state.mutable_ended()->Add(m_endedRequests.begin(), m_endedRequests.end());
+    m_endedRequests.clear();
+    std::size_t written = 0;
+    for (auto &[id, tracked] : m_requests) {
+        if (++written > MaxRequestsPerState) {
             break;
         }
-        if (held.toldIn > 0 && held.toldIn <= m_confirmed) {
+        if (tracked.firstSentInState > 0 && tracked.firstSentInState <= m_confirmedSequence) {
             state.add_unchanged(id.value);
             continue;
         }
-        held.toldIn = held.toldIn > 0 ? held.toldIn : m_states;
-        tell(id, held, state, now);
+        tracked.firstSentInState = tracked.firstSentInState > 0 ? tracked.firstSentInState : m_lastStateSequence;
+        writeRequest(id, tracked, state, now);
     }
     return state;
 }
 
-v1::EntryState PlacementClient::departure()
+v1::EntryState PlacementClient::buildDeparture()
 {
     v1::EntryState state;
     state.set_incarnation(m_incarnation);
-    state.set_sequence(++m_states);
+    state.set_sequence(++m_lastStateSequence);
     state.set_leaves(true);
     return state;
 }
 
 /// Another server, or another process of it, is told everything.
-void PlacementClient::forgetConfirmed()
+void PlacementClient::resetConfirmed()
 {
-    m_confirmed = 0;
-    for (auto &[id, held] : m_held) {
-        held.toldIn = 0;
+    m_confirmedSequence = 0;
+    for (auto &[id, tracked] : m_requests) {
+        tracked.firstSentInState = 0;
     }
 }
 
-void PlacementClient::tell(PlacementId id, const Held &held, v1::EntryState &state, TimePoint now) const
+void PlacementClient::writeRequest(PlacementId id, const TrackedRequest &tracked, v1::EntryState &state, TimePoint now) const
 {
-    if (held.placed) {
+    if (tracked.placed) {
         v1::PlacedRequest &placed = *state.add_placed();
         placed.set_id(id.value);
-        placed.set_upstream(held.upstream.value);
-        placed.set_prompt_tokens(held.wish.promptTokens);
-        placed.set_first_event_ms(held.firstEventMs);
-        placed.set_early_pace_ms(held.earlyPaceMs);
+        placed.set_upstream(tracked.upstream.value);
+        placed.set_prompt_tokens(tracked.request.promptTokens);
+        placed.set_first_event_ms(tracked.firstEventMs);
+        placed.set_early_pace_ms(tracked.earlyPaceMs);
         return;
     }
-    v1::PlacementAsk &requestPlacement = *state.add_asks();
-    requestPlacement.set_id(id.value);
-    requestPlacement.set_service(held.wish.service.value);
-    requestPlacement.set_rank(held.wish.rank);
-    requestPlacement.set_prompt_tokens(held.wish.promptTokens);
-    requestPlacement.set_objective_in_ms(static_cast<std::int32_t>(wholeMilliseconds(held.wish.objectiveAt - now)));
-    requestPlacement.set_answer_in_ms(static_cast<std::int32_t>(wholeMilliseconds(held.wish.deadline - now)));
-    requestPlacement.set_draw_permille(held.wish.draw);
-    requestPlacement.set_organisation(held.wish.organisation.value);
-    requestPlacement.set_cost(held.wish.cost);
-    requestPlacement.set_longest_pause_ms(held.wish.maxPauseMs);
-    requestPlacement.set_expected_events(held.wish.expectedEvents);
-    for (const InstanceName &tried : held.wish.tried) {
-        requestPlacement.add_tried(tried.value);
+    v1::PlacementAsk &ask = *state.add_asks();
+    ask.set_id(id.value);
+    ask.set_service(tracked.request.service.value);
+    ask.set_rank(tracked.request.rank);
+    ask.set_prompt_tokens(tracked.request.promptTokens);
+    ask.set_objective_in_ms(static_cast<std::int32_t>(wholeMilliseconds(tracked.request.objectiveAt - now)));
+    ask.set_answer_in_ms(static_cast<std::int32_t>(wholeMilliseconds(tracked.request.deadline - now)));
+    ask.set_draw_permille(tracked.request.rolloutPermille);
+    ask.set_organisation(tracked.request.organisation.value);
+    ask.set_cost(tracked.request.cost);
+    ask.set_longest_pause_ms(tracked.request.maxPauseMs);
+    ask.set_expected_events(tracked.request.expectedEvents);
+    for (const InstanceName &tried : tracked.request.tried) {
+        ask.add_tried(tried.value);
     }
 }
 
@@ -176,28 +176,28 @@
     if (from != server(now) || reply.incarnation() != m_incarnation) {
         return answers;
     }
-    m_heard = now;
-    m_confirmed = std::max(m_confirmed, reply.seen());
+    m_lastReceivedAt = now;
+    m_confirmedSequence = std::max(m_confirmedSequence, reply.seen());
     if (reply.tell_all()) {
-        forgetConfirmed();
+        resetConfirmed();
     }
     if (reply.leaving()) {
-        m_passedOverUntil[from] = now + PassOver;
+        m_excludedUntil[from] = now + ExclusionTime;
     }
     for (const v1::PlacementGrant &grant : reply.grants()) {
-        if (std::optional<PlacementGranted> granted = takeGrant(from, grant)) {
+        if (std::optional<PlacementGranted> granted = handleGrant(from, grant)) {
             answers.emplace_back(std::move(*granted));
         }
     }
     for (const v1::PlacementRefusal &refusal : reply.refusals()) {
-        const auto held = m_held.find(PlacementId{refusal.id()});
-        if (held != m_held.end() && !held->second.placed) {
+        const auto tracked = m_requests.find(PlacementId{refusal.id()});
+        if (tracked != m_requests.end() && !tracked->second.placed) {
             answers.emplace_back(PlacementRefused{
-                .id = held->first,
+                .id = tracked->first,
                 .retryAfter = std::chrono::milliseconds(refusal.retry_after_ms()),
                 .overLimit = refusal.reason() == v1::PLACEMENT_OVER_LIMIT,
                 .inputs = refusal.inputs(),
-                .closedFor = std::chrono::milliseconds(refusal.closed_ms()),
+                .timeUntilOpen = std::chrono::milliseconds(refusal.closed_ms()),
             });
         }
     }
@@ -206,31 +206,31 @@
 
 /// None: the caller has left, or the grant came twice, or its address can't be read (another version of the program sent it; the request ends at its
 /// own time limit).
-std::optional<PlacementGranted> PlacementClient::takeGrant(const VmName &from, const v1::PlacementGrant &grant)
+std::optional<PlacementGranted> PlacementClient::handleGrant(const VmName &from, const v1::PlacementGrant &grant)
 {
-    const auto found = m_held.find(PlacementId{grant.id()});
+    const auto found = m_requests.find(PlacementId{grant.id()});
     const Result<Address> address = parseAddress(grant.address());
-    if (found == m_held.end() || found->second.placed || !ok(address)) {
+    if (found == m_requests.end() || found->second.placed || !ok(address)) {
         return {};
     }
-    Held &held = found->second;
-    held.placed = true;
-    held.toldIn = 0;
-    held.upstream = InstanceName{grant.upstream()};
-    --m_waiting;
+    TrackedRequest &tracked = found->second;
+    tracked.placed = true;
+    tracked.firstSentInState = 0;
+    tracked.upstream = InstanceName{grant.upstream()};
+    --m_waitingCount;
     UpstreamInstance upstream{
-        .name = held.upstream, .service = held.wish.service, .address = valueOf(address), .dataCentre = {}, .version = VersionName{grant.version()}};
-    return PlacementGranted{.id = found->first, .upstream = std::move(upstream), .inputs = inputsOf(grant, from), .paceWanted = grant.pace_wanted()};
+        .name = tracked.upstream, .service = tracked.request.service, .address = valueOf(address), .dataCentre = {}, .version = VersionName{grant.version()}};
+    return PlacementGranted{.id = found->first, .upstream = std::move(upstream), .inputs = describeInputs(grant, from), .paceWanted = grant.pace_wanted()};
 }
 
-bool PlacementClient::passOverSilent(TimePoint now)
+bool PlacementClient::replaceTimedOutServer(TimePoint now)
 {
-    const VmName &asked = server(now);
-    if (!anyWaiting() || asked == m_self || now - m_heard < SilenceLimit) {
+    const VmName &timedOutServer = server(now);
+    if (!anyWaiting() || timedOutServer == m_self || now - m_lastReceivedAt < ServerTimeout) {
         return false;
     }
-    m_passedOverUntil[asked] = now + PassOver;
-    m_heard = now;
+    m_excludedUntil[timedOutServer] = now + ExclusionTime;
+    m_lastReceivedAt = now;
     return true;
 }
 
--- a/src/placement/placementclient.h
+++ b/src/placement/placementclient.h
@@ -25,7 +25,7 @@
     TimePoint objectiveAt;
     TimePoint deadline;
     /// 0 to 999, from the request's id: which part of a rollout's split it belongs to.
-    std::uint32_t draw = 0;
+    std::uint32_t rolloutPermille = 0;
     std::set<InstanceName> tried;
     /// Whose limit it is charged to, and how many tokens (or requests); empty for a further try, and on a route that is open to all.
     OrganisationName organisation;
@@ -64,7 +64,7 @@
     bool overLimit = false;
     std::string inputs;
     /// Over the limit: nothing of the organisation can pass for so long.
-    Duration closedFor{};
+    Duration timeUntilOpen{};
 };
 
 using PlacementAnswer = std::variant<PlacementGranted, PlacementRefused>;
@@ -76,9 +76,9 @@
 class PlacementClient
 {
 public:
-    PlacementClient(VmName self, DataCentreName here, std::uint64_t incarnation)
+    PlacementClient(VmName self, DataCentreName localDataCentre, std::uint64_t incarnation)
         : m_self(std::move(self))
-        , m_here(std::move(here))
+        , m_localDataCentre(std::move(localDataCentre))
         , m_incarnation(incarnation)
     {
     }
@@ -88,12 +88,12 @@
     /// Whom to ask now.
     const VmName &server(TimePoint now) const;
     /// The VMs of each data centre, whom to ask first first.
-    const std::map<DataCentreName, std::vector<VmName>> &ranked() const
+    const std::map<DataCentreName, std::vector<VmName>> &rankedServers() const
     {
-        return m_ranked;
+        return m_rankedServers;
     }
 
-    PlacementId requestPlacement(SlotRequest wish, TimePoint now);
+    PlacementId requestPlacement(SlotRequest request, TimePoint now);
     /// It was granted, and its first event came so long after the sending.
     void recordFirstEvent(PlacementId id, Duration after);
     /// Milliseconds between its first events, where the grant asked for that.
@@ -104,56 +104,56 @@
     /// Everything, for the server; the ends since the last call.
     v1::EntryState state(TimePoint now);
     /// For a server that is asked no more.
-    v1::EntryState departure();
+    v1::EntryState buildDeparture();
     /// Answers of the VM that is asked now; others are ignored, so that its count of what it gave out stays right.
     std::vector<PlacementAnswer> handleReply(const VmName &from, const v1::PlacementReply &reply, TimePoint now);
     /// True when the server has been silent for too long and another one is to be asked.
-    bool passOverSilent(TimePoint now);
+    bool replaceTimedOutServer(TimePoint now);
     std::size_t waitingCount() const
     {
-        return m_waiting;
+        return m_waitingCount;
     }
     /// Something is waiting or under way.
     bool isBusy() const
     {
-        return !m_held.empty() || !m_ended.empty();
+        return !m_requests.empty() || !m_endedRequests.empty();
     }
 
 private:
-    struct Held
+    struct TrackedRequest
     {
-        SlotRequest wish;
+        SlotRequest request;
         bool placed = false;
         InstanceName upstream;
         std::uint32_t firstEventMs = 0;
         double earlyPaceMs = 0;
         /// The first state that told it as it is; 0: none yet.
-        std::uint64_t toldIn = 0;
+        std::uint64_t firstSentInState = 0;
     };
 
-    std::optional<PlacementGranted> takeGrant(const VmName &from, const v1::PlacementGrant &grant);
-    void tell(PlacementId id, const Held &held, v1::EntryState &state, TimePoint now) const;
-    void forgetConfirmed();
+    std::optional<PlacementGranted> handleGrant(const VmName &from, const v1::PlacementGrant &grant);
+    void writeRequest(PlacementId id, const TrackedRequest &tracked, v1::EntryState &state, TimePoint now) const;
+    void resetConfirmed();
     bool anyWaiting() const
     {
-        return m_waiting > 0;
+        return m_waitingCount > 0;
     }
 
     const VmName m_self;
-    const DataCentreName m_here;
+    const DataCentreName m_localDataCentre;
     const std::uint64_t m_incarnation;
-    std::map<DataCentreName, std::vector<VmName>> m_ranked;
-    std::map<VmName, TimePoint> m_passedOverUntil;
+    std::map<DataCentreName, std::vector<VmName>> m_rankedServers;
+    std::map<VmName, TimePoint> m_excludedUntil;
     std::uint64_t m_lastId = 0;
-    std::uint64_t m_states = 0;
-    std::map<PlacementId, Held> m_held;
-    std::size_t m_waiting = 0;
-    std::vector<v1::EndedRequest> m_ended;
+    std::uint64_t m_lastStateSequence = 0;
+    std::map<PlacementId, TrackedRequest> m_requests;
+    std::size_t m_waitingCount = 0;
+    std::vector<v1::EndedRequest> m_endedRequests;
     /// The server, and the newest state that it has seen.
-    VmName m_confirmedBy;
-    std::uint64_t m_confirmed = 0;
+    VmName m_confirmingServer;
+    std::uint64_t m_confirmedSequence = 0;
     /// The server's last reply, or when there was first something to reply to.
-    TimePoint m_heard{};
+    TimePoint m_lastReceivedAt{};
 };
 
 }
--- a/src/placement/placementserver.h
+++ b/src/placement/placementserver.h
@@ -30,9 +30,9 @@
     using Reply = std::pair<VmName, v1::PlacementReply>;
 
     /// "limitTolerance": tokens (or requests) that may be admitted beyond each limit; the setting limit_slack.
-    PlacementServer(DataCentreName here, std::uint64_t limitTolerance)
-        : m_here(here)
-        , m_board(std::move(here))
+    PlacementServer(DataCentreName localDataCentre, std::uint64_t limitTolerance)
+        : m_localDataCentre(localDataCentre)
+        , m_pool(std::move(localDataCentre))
         , m_limits(limitTolerance)
     {
     }
@@ -40,16 +40,16 @@
     /// The platform's whole list of upstreams.
     void setList(const std::vector<UpstreamInstance> &instances, TimePoint now);
     /// The list's part of one data centre.
-    void takeListPart(const DataCentreName &dataCentre, const std::vector<UpstreamInstance> &instances, TimePoint now);
+    void setListPart(const DataCentreName &dataCentre, const std::vector<UpstreamInstance> &instances, TimePoint now);
     /// Whether the list could be read the last time it was tried.
     void setListReadable(bool readable)
     {
-        m_board.setListReadable(readable);
+        m_pool.setListReadable(readable);
     }
     /// The own data centre's upstreams are not enough: the others' parts of the list are to be read.
-    bool wantsFarther(TimePoint now) const;
+    bool wantsRemote(TimePoint now) const;
     /// Rollouts in force, by service.
-    void takeRollouts(const std::map<std::string, v1::Rollout> &rollouts)
+    void setRollouts(const std::map<std::string, v1::Rollout> &rollouts)
     {
         m_rollouts = rollouts;
     }
@@ -61,7 +61,7 @@
     /// How many entry VMs there are.
     void setFleet(const v1::FleetTally &fleet)
     {
-        m_fleetSize = std::max<std::uint32_t>(1, fleet.entry_vm_count());
+        m_entryVmCount = std::max<std::uint32_t>(1, fleet.entry_vm_count());
     }
     /// What another data centre's server has given out.
     void handleNotice(const VmName &from, const v1::LoadNotice &notice, TimePoint now);
@@ -82,12 +82,12 @@
     void writeNotice(v1::LoadNotice &notice, bool forBackup, TimePoint now);
 
 private:
-    struct AskKey
+    struct RequestKey
     {
         VmName vm;
         PlacementId id;
 
-        auto operator<=>(const AskKey &) const = default;
+        auto operator<=>(const RequestKey &) const = default;
     };
     enum class Stage {
         Waiting,
@@ -95,12 +95,12 @@
         Refused, ///< the same
         Sent,
     };
-    struct Item
+    struct TrackedRequest
     {
         Stage stage = Stage::Waiting;
         ServiceName service;
         std::uint32_t promptTokens = 0;
-        std::uint32_t draw = 0;
+        std::uint32_t rolloutPermille = 0;
         std::string organisation;
         std::uint64_t cost = 0;
         double maxPauseMs = 0;
@@ -111,66 +111,66 @@
         /// Until when a start is early enough for an answer on time.
         TimePoint latestStart;
         /// When its waiting ends.
-        TimePoint giveUpAt;
+        TimePoint queueExpiresAt;
         InstanceName upstream;
         /// Up to this prompt's end, when it was granted.
         std::uint64_t tokensToRead = 0;
-        bool promptRead = false;
+        bool prefillDone = false;
         /// The answer to the ask, and when it was sent last.
         v1::PlacementGrant grant;
         v1::PlacementRefusal refusal;
-        TimePoint toldAt;
+        TimePoint decisionSentAt;
     };
-    struct Entry
+    struct EntryVm
     {
         std::uint64_t incarnation = 0;
         std::uint64_t sequence = 0;
-        TimePoint heard;
-        TimePoint repliedAt;
-        std::map<PlacementId, Item> items;
+        TimePoint lastReceivedAt;
+        TimePoint lastReplyAt;
+        std::map<PlacementId, TrackedRequest> requests;
         /// What goes with the next reply.
-        v1::PlacementReply due;
+        v1::PlacementReply nextReply;
     };
     /// Another placement server.
     struct Peer
     {
-        TimePoint heard;
-        std::uint32_t entryVms = 0;
+        TimePoint lastReceivedAt;
+        std::uint32_t entryVmCount = 0;
     };
     struct Service
     {
-        RequestQueue<AskKey> line;
+        RequestQueue<RequestKey> queue;
         /// The first and the last refusal for want of room in the present overload.
-        TimePoint refusingSince{};
-        TimePoint refusedLast{};
+        TimePoint overloadSince{};
+        TimePoint lastRefusalAt{};
     };
 
-    void takeDeparture(const VmName &from, const v1::EntryState &state);
-    void takeAsk(const VmName &from, Entry &entry, const v1::PlacementAsk &ask, TimePoint now);
-    Item itemOf(const v1::PlacementAsk &ask, TimePoint now) const;
-    void tellAgain(Entry &entry, PlacementId id, TimePoint now);
-    void takePlaced(const VmName &from, Entry &entry, const v1::PlacedRequest &placed);
-    void takeEnded(const v1::EndedRequest &ended, TimePoint now);
-    void release(const VmName &from, PlacementId id, const Item &item);
-    void releaseAll(const VmName &from, const Entry &entry);
-    bool listIsUsable(TimePoint now) const;
-    void pump(const ServiceName &name, Service &service, TimePoint now);
-    void refuseOverdue(Service &service, TimePoint now);
-    void refuse(Entry &entry, PlacementId id, Item &item, v1::PlacementRefusalReason reason, Duration retryAfter, TimePoint now);
+    void handleDeparture(const VmName &from, const v1::EntryState &state);
+    void handleAsk(const VmName &from, EntryVm &entryVm, const v1::PlacementAsk &ask, TimePoint now);
+    TrackedRequest makeRequest(const v1::PlacementAsk &ask, TimePoint now) const;
+    void resendDecision(EntryVm &entryVm, PlacementId id, TimePoint now);
+    void handlePlaced(const VmName &from, EntryVm &entryVm, const v1::PlacedRequest &placed);
+    void handleEnded(const v1::EndedRequest &ended, TimePoint now);
+    void release(const VmName &from, PlacementId id, const TrackedRequest &request);
+    void releaseAll(const VmName &from, const EntryVm &entryVm);
+    bool isListUsable(TimePoint now) const;
+    void grantQueued(const ServiceName &name, Service &service, TimePoint now);
+    void refuseExpired(Service &service, TimePoint now);
+    void refuse(EntryVm &entryVm, PlacementId id, TrackedRequest &request, v1::PlacementRefusalReason reason, Duration retryAfter, TimePoint now);
     void updateCoverage(TimePoint now);
-    Placement place(const Item &item, TimePoint now) const;
-    void grant(const AskKey &key, Item &item, const Placement &placement, TimePoint now);
-    Duration retryAfterFull(Service &service, TimePoint now);
+    Placement place(const TrackedRequest &request, TimePoint now) const;
+    void grant(const RequestKey &key, TrackedRequest &request, const Placement &placement, TimePoint now);
+    Duration retryAfterOverload(Service &service, TimePoint now);
 
-    const DataCentreName m_here;
-    UpstreamPool m_board;
+    const DataCentreName m_localDataCentre;
+    UpstreamPool m_pool;
     FleetLimits m_limits;
-    std::size_t m_fleetSize = 1;
+    std::size_t m_entryVmCount = 1;
     std::map<VmName, Peer> m_peers;
-    TimePoint m_listReadAt{};
-    TimePoint m_fartherWantedUntil{};
+    TimePoint m_localListReadAt{};
+    TimePoint m_remoteWantedUntil{};
     std::map<std::string, v1::Rollout> m_rollouts;
-    std::map<VmName, Entry> m_entries;
+    std::map<VmName, EntryVm> m_entryVms;
     std::map<ServiceName, Service> m_services;
 };
 
--- a/src/placement/placementtypes.h
+++ b/src/placement/placementtypes.h
@@ -27,12 +27,12 @@
     /// It leaves: it gets no new work.
     bool draining = false;
     /// Milliseconds since 1970 of its start; 0: not told. With the name it tells one process from the next at the same name.
-    std::int64_t born = 0;
+    std::int64_t startedAtMs = 0;
 
     bool operator==(const UpstreamInstance &) const = default;
 };
 
 /// The list of upstreams is read every second; an attempt that fails takes less than another.
-constexpr Duration ListHolds = std::chrono::milliseconds(2000);
+constexpr Duration MaxListAge = std::chrono::milliseconds(2000);
 
 }
--- a/src/placement/requestqueue.h
+++ b/src/placement/requestqueue.h
@@ -20,28 +20,28 @@
 {
 public:
     /// Until when a start is early enough for an answer on time, and when waiting ends.
-    void add(const Key &request, PriorityRank rank, TimePoint latestStart, TimePoint giveUpAt)
+    void enqueue(const Key &request, PriorityRank rank, TimePoint latestStart, TimePoint expiresAt)
     {
-        const Place place{rank, latestStart, m_next++};
-        m_places.emplace(request, place);
-        m_waiting.emplace(place, Waiting{request, giveUpAt});
+        const Position position{rank, latestStart, m_nextArrival++};
+        m_positions.emplace(request, position);
+        m_entries.emplace(position, Entry{request, expiresAt});
     }
     void remove(const Key &request)
     {
-        const auto found = m_places.find(request);
-        if (found == m_places.end()) {
+        const auto found = m_positions.find(request);
+        if (found == m_positions.end()) {
             return;
         }
-        m_waiting.erase(found->second);
-        m_places.erase(found);
+        m_entries.erase(found->second);
+        m_positions.erase(found);
     }
     bool empty() const
     {
-        return m_waiting.empty();
+        return m_entries.empty();
     }
     std::size_t size() const
     {
-        return m_waiting.size();
+        return m_entries.size();
     }
     /// All, most urgent first. Within a rank those that can still be on time come before those that can't: served in order of arrival
     /// alone, a line that is once too long makes everybody late.
@@ -50,58 +50,58 @@
         std::vector<Key> ordered;
         std::vector<Key> late;
         std::optional<PriorityRank> rank;
-        const auto addLate = [&] {
+        const auto appendLate = [&] {
             ordered.insert(ordered.end(), late.begin(), late.end());
             late.clear();
         };
-        for (const auto &[place, waitingCount] : m_waiting) {
-            if (rank != place.rank) {
-                addLate();
-                rank = place.rank;
+        for (const auto &[position, entry] : m_entries) {
+            if (rank != position.rank) {
+                appendLate();
+                rank = position.rank;
             }
-            (place.latestStart < now ? late : ordered).push_back(waitingCount.request);
+            (position.latestStart < now ? late : ordered).push_back(entry.request);
         }
-        addLate();
+        appendLate();
         return ordered;
     }
     /// Takes out those that have waited as long as they may, and with each of them all that wait at a lower rank: they would be served
     /// after it, and a higher rank is never refused while a lower one goes on waiting. Least urgent first.
-    std::vector<Key> takeOverdue(TimePoint now)
+    std::vector<Key> removeExpired(TimePoint now)
     {
-        std::vector<Key> overdue;
-        std::optional<PriorityRank> highest;
-        for (const auto &[place, waitingCount] : m_waiting) {
-            const bool below = highest && *highest < place.rank;
-            if (now < waitingCount.giveUpAt && !below) {
+        std::vector<Key> expired;
+        std::optional<PriorityRank> highestExpired;
+        for (const auto &[position, entry] : m_entries) {
+            const bool isLowerRank = highestExpired && *highestExpired < position.rank;
+            if (now < entry.expiresAt && !isLowerRank) {
                 continue;
             }
-            overdue.push_back(waitingCount.request);
-            highest = highest ? highest : place.rank;
+            expired.push_back(entry.request);
+            highestExpired = highestExpired ? highestExpired : position.rank;
         }
-        for (const Key &request : overdue) {
+        for (const Key &request : expired) {
             remove(request);
         }
-        return {overdue.rbegin(), overdue.rend()};
+        return {expired.rbegin(), expired.rend()};
     }
 
 private:
-    struct Place
+    struct Position
     {
         PriorityRank rank;
         TimePoint latestStart;
-        std::uint64_t order = 0;
+        std::uint64_t arrival = 0;
 
-        auto operator<=>(const Place &) const = default;
+        auto operator<=>(const Position &) const = default;
     };
-    struct Waiting
+    struct Entry
     {
         Key request;
-        TimePoint giveUpAt;
+        TimePoint expiresAt;
     };
 
-    std::uint64_t m_next = 0;
-    std::map<Place, Waiting> m_waiting;
-    std::map<Key, Place> m_places;
+    std::uint64_t m_nextArrival = 0;
+    std::map<Position, Entry> m_entries;
+    std::map<Key, Position> m_positions;
 };
 
 }
--- a/src/placement/upstreampool.h
+++ b/src/placement/upstreampool.h
@@ -35,16 +35,16 @@
     /// Events that the answer is likely to have; 0: not known.
     std::uint32_t expectedEvents = 0;
     /// How long until no answer is of use any more; zero: for ever.
-    Duration answerWithin{};
+    Duration timeToDeadline{};
 };
 
 /// Where a request would go, and how long its answer (a stream's first event) would take there.
 struct Placement
 {
     const UpstreamInstance *upstream = nullptr;
-    Duration predicted{};
+    Duration predictedTime{};
     /// One of another data centre was chosen, or might have been sooner or free where none here was.
-    bool fartherMayHelp = false;
+    bool remoteMayHelp = false;
 };
 
 /// What is known of each upstream: the platform's list, the requests that were given out here, those of other data centres from their
@@ -52,8 +52,8 @@
 class UpstreamPool
 {
 public:
-    explicit UpstreamPool(DataCentreName here)
-        : m_here(std::move(here))
+    explicit UpstreamPool(DataCentreName localDataCentre)
+        : m_localDataCentre(std::move(localDataCentre))
     {
     }
 
@@ -61,7 +61,7 @@
     void setList(const std::vector<UpstreamInstance> &instances, TimePoint now = {});
     /// The list's part of one data centre. From then on, farther upstreams are used only while their parts are fresh: an old part has upstreams
     /// that have left since.
-    void takeListPart(const DataCentreName &dataCentre, const std::vector<UpstreamInstance> &instances, TimePoint now);
+    void setListPart(const DataCentreName &dataCentre, const std::vector<UpstreamInstance> &instances, TimePoint now);
     /// While the list can't be read, an old one is better than none.
     void setListReadable(bool readable)
     {
@@ -79,32 +79,32 @@
     /// The upstream that will answer soonest; none when all of them are full or out of use.
     Placement choose(const PlacementQuery &query, TimePoint now) const;
     /// Some upstream of the service could take a request now.
-    bool hasRoom(const ServiceName &service, TimePoint now) const;
+    bool hasFreeSlot(const ServiceName &service, TimePoint now) const;
     /// How long the fastest upstream would take with nothing else to do; zero while nothing was learned.
-    Duration soonestIdle(const ServiceName &service, std::uint32_t promptTokens) const;
+    Duration idleFirstEventTime(const ServiceName &service, std::uint32_t promptTokens) const;
 
-    void sent(const InstanceName &name, std::uint32_t promptTokens);
+    void acquireSlot(const InstanceName &name, std::uint32_t promptTokens);
     /// The prompt has been read: the first event came, or the sending ended before it.
-    void promptRead(const InstanceName &name, std::uint32_t promptTokens);
-    void ended(const InstanceName &name);
+    void recordPrefillDone(const InstanceName &name, std::uint32_t promptTokens);
+    void releaseSlot(const InstanceName &name);
     /// Milliseconds between events of a stream, or to a plain answer's end: how fast the upstream works.
-    void observedPace(const InstanceName &name, double milliseconds);
+    void recordPace(const InstanceName &name, double milliseconds);
     /// The pace of a stream's first events: counts while nothing else is known.
-    void observedEarlyPace(const InstanceName &name, double milliseconds);
+    void recordEarlyPace(const InstanceName &name, double milliseconds);
     bool knowsPace(const InstanceName &name) const;
     /// The mean and the longest pause between the events of a stream.
-    void observedPauses(const InstanceName &name, double meanMs, double longestPauseMs);
+    void recordPauses(const InstanceName &name, double meanMs, double longestPauseMs);
     /// A first event, and the tokens that were to be read for it when the request was sent.
-    void observedFirstEvent(const InstanceName &name, double tokens, double milliseconds);
+    void recordFirstEvent(const InstanceName &name, double tokens, double milliseconds);
     /// Tokens that an upstream has to read before a new prompt.
-    std::uint64_t tokensAhead(const InstanceName &name) const;
-    void succeeded(const InstanceName &name);
+    std::uint64_t pendingPromptTokens(const InstanceName &name) const;
+    void recordSuccess(const InstanceName &name);
     /// It failed a request or could not be reached: it rests, longer with each failure in a row.
-    void failed(const InstanceName &name, TimePoint now);
+    void recordFailure(const InstanceName &name, TimePoint now);
     /// It is full or leaving and said so: it rests a moment, without counting as a failure.
-    void refused(const InstanceName &name, TimePoint now);
+    void recordRefusal(const InstanceName &name, TimePoint now);
     /// Another process has its address.
-    void misdirected(const InstanceName &name, TimePoint now);
+    void recordMisdirection(const InstanceName &name, TimePoint now);
 
     /// Requests that it has, as far as is known here.
     std::uint32_t inFlight(const InstanceName &name) const;
@@ -122,34 +122,34 @@
         bool operator==(const Load &) const = default;
     };
     /// What the receivers of notices were told last of an upstream.
-    struct Told
+    struct ReportedLoad
     {
         Load load;
         /// That nothing is left was told once, and is told again at its turn.
-        bool repeatsNothing = false;
+        bool repeatZero = false;
 
         /// Whether the next notice must tell the load; it counts as told then.
-        bool isDue(const Load &now, bool isItsTurn);
+        bool markReportedIfDue(const Load &now, bool isTurn);
     };
     struct Upstream
     {
         UpstreamInstance instance;
-        bool isFarther = false;
+        bool isRemote = false;
         /// When it was seen on the list last.
-        TimePoint listedAt{};
-        Load own;
+        TimePoint lastListedAt{};
+        Load ownLoad;
         /// Of the other servers, as of their last notices.
-        Load others;
-        Told told;
-        Told toldBackups;
+        Load peerLoad;
+        ReportedLoad reported;
+        ReportedLoad reportedToBackups;
         /// Whose turn it is to be told again, by the name's hash.
-        std::uint64_t slice = 0;
+        std::uint64_t sliceHash = 0;
         double paceMs = 0;
-        int failuresInARow = 0;
-        TimePoint restsUntil{};
+        int consecutiveFailures = 0;
+        TimePoint ejectedUntil{};
     };
 
-    struct PeerLoad
+    struct ReceivedLoad
     {
         Load load;
         /// The last notice that told it.
@@ -159,34 +159,34 @@
     {
         std::uint64_t incarnation = 0;
         std::uint64_t sequence = 0;
-        TimePoint heard;
-        std::map<InstanceName, PeerLoad> loads;
+        TimePoint lastReceivedAt;
+        std::map<InstanceName, ReceivedLoad> loads;
     };
 
-    void addToList(std::map<InstanceName, Upstream> &next, const std::vector<UpstreamInstance> &instances, TimePoint now) const;
-    void replaceList(std::map<InstanceName, Upstream> &&next);
+    void addInstances(std::map<InstanceName, Upstream> &next, const std::vector<UpstreamInstance> &instances, TimePoint now) const;
+    void replaceUpstreams(std::map<InstanceName, Upstream> &&next);
     bool isUsable(const Upstream &upstream, TimePoint now) const;
     void addLoads(const Peer &peer, int sign);
     void addLoad(const InstanceName &name, const Load &load, int sign);
-    void forgetUntold(Peer &peer);
-    bool allowed(const Upstream &upstream, const PlacementQuery &query, TimePoint now) const;
+    void expireUnreported(Peer &peer);
+    bool isEligible(const Upstream &upstream, const PlacementQuery &query, TimePoint now) const;
     double fastestPace(const ServiceName &service) const;
-    bool hasPlace(const Upstream &upstream) const;
-    bool wouldPause(const Upstream &upstream, const PlacementQuery &query, double fastest) const;
-    bool wouldEnd(const Upstream &upstream, const PlacementQuery &query, double firstMs, double fastest) const;
-    bool someWouldEnd(const PlacementQuery &query, double fastest, TimePoint now) const;
-    double predictedMs(const Upstream &upstream, std::uint32_t promptTokens, double fastest) const;
-    const std::vector<const Upstream *> &ofService(const ServiceName &service) const;
+    bool hasFreeSlot(const Upstream &upstream) const;
+    bool wouldExceedMaxPause(const Upstream &upstream, const PlacementQuery &query, double fastestPaceMs) const;
+    bool wouldFinishInTime(const Upstream &upstream, const PlacementQuery &query, double firstEventMs, double fastestPaceMs) const;
+    bool anyWouldFinishInTime(const PlacementQuery &query, double fastestPaceMs, TimePoint now) const;
+    double predictedMs(const Upstream &upstream, std::uint32_t promptTokens, double fastestPaceMs) const;
+    const std::vector<const Upstream *> &upstreamsOf(const ServiceName &service) const;
     Upstream *find(const InstanceName &name);
 
-    const DataCentreName m_here;
+    const DataCentreName m_localDataCentre;
     std::map<InstanceName, Upstream> m_upstreams;
     /// Each service's part of them.
-    std::map<ServiceName, std::vector<const Upstream *>> m_ofService;
-    std::map<ServiceName, FirstEventModel> m_engines;
-    std::map<ServiceName, PauseRatioEstimator> m_pauses;
+    std::map<ServiceName, std::vector<const Upstream *>> m_upstreamsByService;
+    std::map<ServiceName, FirstEventModel> m_firstEventModels;
+    std::map<ServiceName, PauseRatioEstimator> m_pauseRatios;
     std::map<VmName, Peer> m_peers;
-    std::uint64_t m_backupNotices = 0;
+    std::uint64_t m_backupNoticeCount = 0;
     bool m_listInParts = false;
     bool m_listReadable = true;
 };
--- a/src/proxy/instancelistreader.cpp
+++ b/src/proxy/instancelistreader.cpp
@@ -33,7 +33,7 @@
 
 void InstanceListReader::start()
 {
-    m_schedule.restart();
+    m_schedule.reset();
     m_next.startOnce(Duration::zero());
 }
 
@@ -46,7 +46,7 @@
 
 void InstanceListReader::setFartherWanted(bool wanted)
 {
-    if (wanted != m_fartherWanted && m_schedule.isInParts()) {
+    if (wanted != m_fartherWanted && m_schedule.readsInParts()) {
         logChange("proxy", "farther-upstreams", {{"read", wanted ? "yes" : "no"}});
     }
     m_fartherWanted = wanted;
@@ -55,14 +55,14 @@
 void InstanceListReader::readNext()
 {
     const TimePoint now = EventLoop::now();
-    const std::optional<ListRead> reading = m_schedule.next(m_fartherWanted, now);
+    const std::optional<ListRead> reading = m_schedule.nextRead(m_fartherWanted, now);
     if (!reading) {
-        m_next.startOnce(m_schedule.untilNextLook(now));
+        m_next.startOnce(m_schedule.timeUntilNextCheck(now));
         return;
     }
     m_reading = *reading;
     m_gathered = {};
-    if (m_reading.part == ListRead::Part::DataCentre) {
+    if (m_reading.scope == ListRead::Scope::DataCentre) {
         m_gathered.dataCentre = m_reading.dataCentre;
     }
     m_pages = 0;
@@ -108,21 +108,21 @@
     const TimePoint now = EventLoop::now();
     InstancePage &read = valueOf(page);
     for (const UpstreamInstance &instance : read.instances) {
-        m_schedule.known(instance.dataCentre);
+        m_schedule.addDataCentre(instance.dataCentre);
     }
     m_failuresOfPage = 0;
     m_rejected += read.rejected;
     ++m_pages;
     m_reading.pageToken = read.nextPage;
-    if (m_reading.part == ListRead::Part::Survey) {
-        m_schedule.surveyed(read.nextPage, now);
+    if (m_reading.scope == ListRead::Scope::Discovery) {
+        m_schedule.onDiscoveryPageRead(read.nextPage, now);
         m_next.startOnce(Duration::zero());
         return;
     }
     m_gathered.instances.insert(m_gathered.instances.end(), read.instances.begin(), read.instances.end());
-    const bool isLong = m_reading.part == ListRead::Part::Whole && m_pages >= ListSchedule::MostWholePages && !read.nextPage.empty();
-    if (isLong) {
-        m_schedule.isLong();
+    const bool switchToParts = m_reading.scope == ListRead::Scope::Whole && m_pages >= ListSchedule::MaxWholePages && !read.nextPage.empty();
+    if (switchToParts) {
+        m_schedule.switchToParts();
         m_next.startOnce(Duration::zero());
     } else if (!read.nextPage.empty() && m_pages < MostPages) {
         fetch();
@@ -137,10 +137,10 @@
 
 void InstanceListReader::takeLast(TimePoint now)
 {
-    if (m_reading.part == ListRead::Part::Whole) {
-        m_schedule.wholeRead(now);
+    if (m_reading.scope == ListRead::Scope::Whole) {
+        m_schedule.onWholeRead(now);
     } else {
-        m_schedule.partRead(m_reading.dataCentre, now);
+        m_schedule.onPartRead(m_reading.dataCentre, now);
     }
     m_everRead = true;
     noteReadable(true, "");
@@ -157,7 +157,7 @@
         ++m_failuresOfPage;
         return;
     }
-    m_schedule.failed(m_reading, EventLoop::now());
+    m_schedule.onReadFailed(m_reading, EventLoop::now());
     m_next.startOnce(Duration::zero());
 }
 
--- a/src/proxy/instancelistreader.h
+++ b/src/proxy/instancelistreader.h
@@ -35,7 +35,7 @@
     /// One that has entry VMs.
     void takeDataCentre(const DataCentreName &dataCentre)
     {
-        m_schedule.known(dataCentre);
+        m_schedule.addDataCentre(dataCentre);
     }
     /// Emitted with what was read; before anything was, also with the first pages of it, for the requests that wait.
     sigc::signal<void, const InstanceList &> &read()
--- a/src/proxy/placementhost.cpp
+++ b/src/proxy/placementhost.cpp
@@ -68,7 +68,7 @@
 {
     m_server.setListReadable(true);
     if (list.dataCentre) {
-        m_server.takeListPart(*list.dataCentre, list.instances, EventLoop::now());
+        m_server.setListPart(*list.dataCentre, list.instances, EventLoop::now());
     } else {
         m_server.setList(list.instances, EventLoop::now());
     }
@@ -120,14 +120,14 @@
 void PlacementHost::tellState()
 {
     // Before the other VMs are known this one would take itself for the server, and read the list with all others that start.
-    if (!m_socket || !m_client.ranked().empty()) {
+    if (!m_socket || !m_client.rankedServers().empty()) {
         stateChanged();
     }
 }
 
-void PlacementHost::takeRollouts(const std::map<std::string, v1::Rollout> &rollouts)
+void PlacementHost::setRollouts(const std::map<std::string, v1::Rollout> &rollouts)
 {
-    m_server.takeRollouts(rollouts);
+    m_server.setRollouts(rollouts);
 }
 
 void PlacementHost::leave()
@@ -165,10 +165,10 @@
 void PlacementHost::sendDeparture(const VmName &before)
 {
     if (before == m_options.vm) {
-        m_server.handleState(before, m_client.departure(), EventLoop::now());
+        m_server.handleState(before, m_client.buildDeparture(), EventLoop::now());
     } else if (!before.value.empty()) {
         v1::PlacementDatagram datagram;
-        *datagram.mutable_state() = m_client.departure();
+        *datagram.mutable_state() = m_client.buildDeparture();
         send(before, std::move(datagram));
     }
 }
@@ -242,7 +242,7 @@
     m_advanceDue = false;
     m_advanced = now;
     std::vector<PlacementServer::Reply> replies = m_server.advance(now);
-    m_feed.setFartherWanted(m_server.wantsFarther(now));
+    m_feed.setFartherWanted(m_server.wantsRemote(now));
     for (auto &[vm, reply] : replies) {
         if (vm == m_options.vm) {
             handleReply(vm, reply);
@@ -290,7 +290,7 @@
     // out places and limits that were long gone.
     const std::vector<VmName> active = m_server.activePeers(EventLoop::now());
     std::set<VmName> receivers(active.begin(), active.end());
-    for (const auto &[dataCentre, vms] : m_client.ranked()) {
+    for (const auto &[dataCentre, vms] : m_client.rankedServers()) {
         const std::size_t count = std::min(vms.size(), toBackups ? Backups : 1);
         receivers.insert(vms.begin(), vms.begin() + static_cast<std::ptrdiff_t>(count));
     }
@@ -306,7 +306,7 @@
     const TimePoint now = EventLoop::now();
     m_server.expireTimedOut(now);
     ++m_ticks;
-    if (m_client.passOverSilent(now)) {
+    if (m_client.replaceTimedOutServer(now)) {
         logWarning("placement", "server-silent", {{"now_asks", m_client.server(now).value}});
         sendState();
     } else if (m_client.isBusy() && m_ticks % TicksPerState == 0) {
--- a/src/proxy/placementhost.h
+++ b/src/proxy/placementhost.h
@@ -54,7 +54,7 @@
     void setRoutes(const v1::RouteTable &routes);
     /// Other VMs count on being told of this one, also while it has nothing under way.
     void tellState();
-    void takeRollouts(const std::map<std::string, v1::Rollout> &rollouts);
+    void setRollouts(const std::map<std::string, v1::Rollout> &rollouts);
     /// From now on other VMs are told to ask elsewhere.
     void leave();
 
--- a/src/proxy/proxyplacement.cpp
+++ b/src/proxy/proxyplacement.cpp
@@ -23,7 +23,7 @@
         .promptTokens = order.promptTokens,
         .objectiveAt = order.objectiveAt,
         .deadline = order.deadline,
-        .draw = static_cast<std::uint32_t>(checksum(order.id.value) % WholeSharePermille),
+        .rolloutPermille = static_cast<std::uint32_t>(checksum(order.id.value) % WholeSharePermille),
         .tried = request.tried,
         // A further try of a request is not charged again.
         .organisation = request.tried.empty() ? order.organisation : OrganisationName{},
@@ -72,7 +72,7 @@
         answerFailure(*request, ErrorKind::OutcomeUnknown, "no upstream had room for another try");
     } else if (refused.overLimit) {
         ClosedLimit &limit = m_closedLimits[request->order.organisation];
-        limit = ClosedLimit{.until = EventLoop::now() + refused.closedFor, .retryAfter = refused.retryAfter, .inputs = refused.inputs};
+        limit = ClosedLimit{.until = EventLoop::now() + refused.timeUntilOpen, .retryAfter = refused.retryAfter, .inputs = refused.inputs};
         answerOverLimit(*request, limit);
     } else {
         answerRefusal(*request, ErrorKind::Unavailable, "no upstream had room in time", refused.retryAfter);
--- a/src/proxy/proxytask.cpp
+++ b/src/proxy/proxytask.cpp
@@ -123,7 +123,7 @@
     for (const v1::Rollout &rollout : configuration.rollouts) {
         rollouts[rollout.service()] = rollout;
     }
-    m_placement->takeRollouts(rollouts);
+    m_placement->setRollouts(rollouts);
     if (configuration.fleet && configuration.fleet != m_fleet) {
         m_fleet = configuration.fleet;
         m_placement->setFleet(*m_fleet);
--- a/tests/placement/fleetlimitstest.cpp
+++ b/tests/placement/fleetlimitstest.cpp
@@ -8,7 +8,7 @@
 {
 
 constexpr TimePoint Start{std::chrono::seconds(100)};
-const VmName Other{"10.0.1.1"};
+const VmName OtherServer{"10.0.1.1"};
 const std::string Ensemble = "ensemble";
 
 TimePoint after(int milliseconds)
@@ -41,7 +41,7 @@
 {
     std::uint64_t admitted = 0;
     for (int i = 0; i < requests; ++i) {
-        admitted += limits.take(Ensemble, cost, rank, now) ? 0 : cost;
+        admitted += limits.tryAdmit(Ensemble, cost, rank, now) ? 0 : cost;
     }
     return admitted;
 }
@@ -64,10 +64,10 @@
 TEST_CASE("what another server admitted is charged once")
 {
     FleetLimits limits = limitsOf(1000, 1);
-    limits.handleNotice(Other, noticeOf(3, 1, 5000), false, Start);
-    limits.handleNotice(Other, noticeOf(3, 3, 5300), false, Start);
-    limits.handleNotice(Other, noticeOf(3, 2, 5100), false, Start);
-    limits.handleNotice(Other, noticeOf(3, 3, 5300), false, Start);
+    limits.handleNotice(OtherServer, noticeOf(3, 1, 5000), false, Start);
+    limits.handleNotice(OtherServer, noticeOf(3, 3, 5300), false, Start);
+    limits.handleNotice(OtherServer, noticeOf(3, 2, 5100), false, Start);
+    limits.handleNotice(OtherServer, noticeOf(3, 3, 5300), false, Start);
     // Half of the burst, less 300.
     CHECK(admittedOf(limits, 100, 20, Start) == 200);
     CHECK(admittedOf(limits, 100, 20, after(500)) == 500);
@@ -78,9 +78,9 @@
 TEST_CASE("what a server admitted before it was first heard of is not charged")
 {
     FleetLimits limits = limitsOf(1000, 1, 100);
-    limits.handleNotice(Other, noticeOf(3, 1, 400'000), false, Start);
+    limits.handleNotice(OtherServer, noticeOf(3, 1, 400'000), false, Start);
     CHECK(admittedOf(limits, 100, 20, Start) == 600);
-    limits.handleNotice(Other, noticeOf(3, 2, 400'300), false, after(1000));
+    limits.handleNotice(OtherServer, noticeOf(3, 2, 400'300), false, after(1000));
     // A second's rate, less what the other server admitted since.
     CHECK(admittedOf(limits, 100, 20, after(1000)) == 700);
 }
@@ -90,8 +90,8 @@
 TEST_CASE("a restarted server's counts begin at zero and are charged whole")
 {
     FleetLimits limits = limitsOf(1000, 1);
-    limits.handleNotice(Other, noticeOf(3, 1, 5000), false, Start);
-    limits.handleNotice(Other, noticeOf(4, 1, 200), false, Start);
+    limits.handleNotice(OtherServer, noticeOf(3, 1, 5000), false, Start);
+    limits.handleNotice(OtherServer, noticeOf(4, 1, 200), false, Start);
     CHECK(admittedOf(limits, 100, 20, Start) == 300);
 }
 
@@ -126,8 +126,8 @@
 TEST_CASE("a server that loses the others keeps only its part of what is left")
 {
     FleetLimits limits = limitsOf(1000, 1);
-    limits.take(Ensemble, 0, Routine, Start);
-    limits.take(Ensemble, 0, Routine, after(1000));
+    limits.tryAdmit(Ensemble, 0, Routine, Start);
+    limits.tryAdmit(Ensemble, 0, Routine, after(1000));
     limits.setCoverage(0.25, after(1000));
     CHECK(admittedOf(limits, 50, 100, after(1000)) == 250);
     CHECK(admittedOf(limits, 50, 100, after(2000)) == 250);
@@ -142,14 +142,14 @@
     notice.set_sequence(1);
     before.writeNotice(notice, true, after(100));
     FleetLimits next = limitsOf(1000, 1);
-    next.handleNotice(Other, notice, true, after(100));
+    next.handleNotice(OtherServer, notice, true, after(100));
     CHECK(admittedOf(next, 100, 20, after(100)) == 100);
 }
 
 TEST_CASE("a lowered limit binds at once, and one that is taken away no more")
 {
     FleetLimits limits = limitsOf(10'000, 1);
-    limits.take(Ensemble, 0, Routine, after(1000));
+    limits.tryAdmit(Ensemble, 0, Routine, after(1000));
     limits.setRoutes(limitedTo(1000), after(1000));
     CHECK(admittedOf(limits, 100, 100, after(1000)) == 1000);
     limits.setRoutes(limitedTo(0), after(1000));
@@ -161,9 +161,9 @@
 TEST_CASE("what was given out too much is paid back, up to a second's rate")
 {
     FleetLimits limits = limitsOf(1000, 1);
-    limits.handleNotice(Other, noticeOf(3, 1, 0), false, Start);
+    limits.handleNotice(OtherServer, noticeOf(3, 1, 0), false, Start);
     CHECK(admittedOf(limits, 100, 20, Start) == 500);
-    limits.handleNotice(Other, noticeOf(3, 2, 800), false, Start);
+    limits.handleNotice(OtherServer, noticeOf(3, 2, 800), false, Start);
     CHECK(admittedOf(limits, 100, 20, after(750)) == 0);
     CHECK(admittedOf(limits, 100, 20, after(1000)) == 200);
 }
@@ -236,23 +236,23 @@
         sender.writeNotice(notice, false, Start);
         return notice;
     };
-    const auto tell = [&] {
+    const auto deliver = [&] {
         const v1::LoadNotice notice = next();
-        receiver.handleNotice(Other, notice, false, Start);
+        receiver.handleNotice(OtherServer, notice, false, Start);
         return notice.spends_size();
     };
     CHECK(admittedOf(receiver, 100, 1, Start) == 100);
     CHECK(admittedOf(sender, 100, 1, Start) == 100);
-    CHECK(tell() == 1);
-    int told = 0;
+    CHECK(deliver() == 1);
+    int spendCount = 0;
     for (int i = 0; i < 16; ++i) {
-        told += tell();
+        spendCount += deliver();
     }
-    CHECK(told == 2);
+    CHECK(spendCount == 2);
     CHECK(admittedOf(sender, 100, 1, Start) == 100);
     next(); // Lost.
     for (int i = 0; i < 8; ++i) {
-        tell();
+        deliver();
     }
     CHECK(admittedOf(receiver, 100, 20, Start) == 300);
 }
@@ -263,8 +263,8 @@
     constexpr int Vms = 90;
     FleetLimits limits = limitsOf(10'000, 1.0 / Vms);
     CHECK(admittedOf(limits, 1'000, 1, Start) == 1'000);
-    for (int heard = 2; heard <= Vms; ++heard) {
-        limits.setCoverage(static_cast<double>(heard) / Vms, Start);
+    for (int covered = 2; covered <= Vms; ++covered) {
+        limits.setCoverage(static_cast<double>(covered) / Vms, Start);
     }
     // Half of the burst is there at the start.
     CHECK(admittedOf(limits, 1'000, 20, Start) == 4'000);
--- a/tests/placement/pauseratioestimatortest.cpp
+++ b/tests/placement/pauseratioestimatortest.cpp
@@ -6,39 +6,39 @@
 
 TEST_CASE("the ratio of pauses is one that most streams stay below")
 {
-    PauseRatioEstimator pauses;
-    CHECK(pauses.ratio() == 0);
+    PauseRatioEstimator estimator;
+    CHECK(estimator.ratio() == 0);
     for (int i = 0; i < 1000; ++i) {
         // Ratios 1 to 10, as often.
-        pauses.observed(20, 20.0 * (1 + i * 7 % 10));
+        estimator.record(20, 20.0 * (1 + i * 7 % 10));
     }
-    CHECK(pauses.ratio() > 6.5);
-    CHECK(pauses.ratio() < 10);
+    CHECK(estimator.ratio() > 6.5);
+    CHECK(estimator.ratio() < 10);
 }
 
 TEST_CASE("streams too short to tell, and a few, say nothing")
 {
-    PauseRatioEstimator pauses;
+    PauseRatioEstimator estimator;
     for (int i = 0; i < 100; ++i) {
-        pauses.observed(0, 50);
+        estimator.record(0, 50);
     }
-    CHECK(pauses.ratio() == 0);
+    CHECK(estimator.ratio() == 0);
     for (int i = 0; i < 10; ++i) {
-        pauses.observed(20, 60);
+        estimator.record(20, 60);
     }
-    CHECK(pauses.ratio() == 0);
+    CHECK(estimator.ratio() == 0);
 }
 
 // Engines change: another model, other prompts beside the streams.
 TEST_CASE("the ratio follows engines that pause longer than before")
 {
-    PauseRatioEstimator pauses;
+    PauseRatioEstimator estimator;
     for (int i = 0; i < 200; ++i) {
-        pauses.observed(20, 40);
+        estimator.record(20, 40);
     }
-    CHECK(pauses.ratio() == Approx(2).epsilon(0.1));
+    CHECK(estimator.ratio() == Approx(2).epsilon(0.1));
     for (int i = 0; i < 200; ++i) {
-        pauses.observed(20, 120);
+        estimator.record(20, 120);
     }
-    CHECK(pauses.ratio() == Approx(6).epsilon(0.1));
+    CHECK(estimator.ratio() == Approx(6).epsilon(0.1));
 }
--- a/tests/placement/placementclienttest.cpp
+++ b/tests/placement/placementclienttest.cpp
@@ -9,24 +9,24 @@
 
 constexpr TimePoint Start{std::chrono::seconds(100)};
 const VmName Self{"10.0.0.1"};
-const DataCentreName Here{"dc-a"};
+const DataCentreName LocalDataCentre{"dc-a"};
 
 TimePoint after(int milliseconds)
 {
     return Start + std::chrono::milliseconds(milliseconds);
 }
 
-v1::FleetTally fleetOf(const std::vector<std::string> &vmsHere)
+v1::FleetTally fleetOf(const std::vector<std::string> &localVms)
 {
     v1::FleetTally fleet;
-    for (const std::string &vm : vmsHere) {
+    for (const std::string &vm : localVms) {
         v1::PlacementVm &placement = *fleet.add_placement_vms();
         placement.set_vm(vm);
-        placement.set_data_centre(Here.value);
+        placement.set_data_centre(LocalDataCentre.value);
     }
-    v1::PlacementVm &far = *fleet.add_placement_vms();
-    far.set_vm("10.0.1.1");
-    far.set_data_centre("dc-b");
+    v1::PlacementVm &remote = *fleet.add_placement_vms();
+    remote.set_vm("10.0.1.1");
+    remote.set_data_centre("dc-b");
     return fleet;
 }
 
@@ -51,8 +51,8 @@
 
 TEST_CASE("all VMs of a data centre ask the same one, and never one of another data centre")
 {
-    PlacementClient one(VmName{"10.0.0.1"}, Here, 7);
-    PlacementClient two(VmName{"10.0.0.2"}, Here, 8);
+    PlacementClient one(VmName{"10.0.0.1"}, LocalDataCentre, 7);
+    PlacementClient two(VmName{"10.0.0.2"}, LocalDataCentre, 8);
     CHECK(one.server(Start) == VmName{"10.0.0.1"}); // Nobody is known yet.
     one.setCandidates(fleetOf({"10.0.0.1", "10.0.0.2", "10.0.0.3"}));
     two.setCandidates(fleetOf({"10.0.0.3", "10.0.0.2", "10.0.0.1"}));
@@ -64,25 +64,25 @@
 // server gives signs of life while something waits, so silence shows it, and the next VM is asked.
 TEST_CASE("a silent server is passed over, the next ones in turn, and this VM itself in the end")
 {
-    PlacementClient client(Self, Here, 7);
+    PlacementClient client(Self, LocalDataCentre, 7);
     client.setCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
     client.requestPlacement(draft(), Start);
     const VmName first = client.server(Start);
-    CHECK_FALSE(client.passOverSilent(after(100)));
-    REQUIRE(client.passOverSilent(after(160)));
+    CHECK_FALSE(client.replaceTimedOutServer(after(100)));
+    REQUIRE(client.replaceTimedOutServer(after(160)));
     const VmName second = client.server(after(160));
     CHECK(second != first);
     CHECK(second != Self);
-    CHECK_FALSE(client.passOverSilent(after(200)));
-    REQUIRE(client.passOverSilent(after(320)));
+    CHECK_FALSE(client.replaceTimedOutServer(after(200)));
+    REQUIRE(client.replaceTimedOutServer(after(320)));
     CHECK(client.server(after(320)) == Self);
-    CHECK_FALSE(client.passOverSilent(after(900)));
+    CHECK_FALSE(client.replaceTimedOutServer(after(900)));
     CHECK(client.server(after(3200)) == first);
 }
 
 TEST_CASE("a server that leaves is asked no more")
 {
-    PlacementClient client(Self, Here, 7);
+    PlacementClient client(Self, LocalDataCentre, 7);
     client.setCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
     const PlacementId id = client.requestPlacement(draft(), Start);
     const VmName first = client.server(Start);
@@ -96,7 +96,7 @@
 // before this one; only the first that counts begins a sending.
 TEST_CASE("a request is granted once")
 {
-    PlacementClient client(Self, Here, 7);
+    PlacementClient client(Self, LocalDataCentre, 7);
     client.setCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
     const PlacementId id = client.requestPlacement(draft(), Start);
     const VmName server = client.server(Start);
@@ -115,7 +115,7 @@
 
 TEST_CASE("a state tells all that waits and is under way, and each end once")
 {
-    PlacementClient client(Self, Here, 7);
+    PlacementClient client(Self, LocalDataCentre, 7);
     const PlacementId sent = client.requestPlacement(draft(), Start);
     const PlacementId waitingCount = client.requestPlacement(draft(), Start);
     client.handleReply(Self, granting(sent), after(1));
@@ -140,7 +140,7 @@
 // processor, and every first event came half a second late. What the server has confirmed is told by its id alone.
 TEST_CASE("what the server has confirmed is told by its id until it changes or another server is asked")
 {
-    PlacementClient client(Self, Here, 7);
+    PlacementClient client(Self, LocalDataCentre, 7);
     client.setCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
     const PlacementId id = client.requestPlacement(draft(), Start);
     const VmName server = client.server(Start);
@@ -167,14 +167,14 @@
     }
     SECTION("another server")
     {
-        REQUIRE(client.passOverSilent(after(200)));
+        REQUIRE(client.replaceTimedOutServer(after(200)));
         CHECK(client.state(after(200)).asks_size() == 1);
     }
 }
 
 TEST_CASE("the first events of a granted request are told with its next state")
 {
-    PlacementClient client(Self, Here, 7);
+    PlacementClient client(Self, LocalDataCentre, 7);
     client.setCandidates(fleetOf({"10.0.0.1"}));
     const PlacementId id = client.requestPlacement(draft(), Start);
     client.state(Start);
@@ -189,10 +189,10 @@
 
 TEST_CASE("a departure is newer than every state before it")
 {
-    PlacementClient client(Self, Here, 7);
+    PlacementClient client(Self, LocalDataCentre, 7);
     const v1::EntryState before = client.state(Start);
-    const v1::EntryState departure = client.departure();
-    CHECK(departure.leaves());
-    CHECK(departure.incarnation() == before.incarnation());
-    CHECK(departure.sequence() > before.sequence());
+    const v1::EntryState buildDeparture = client.buildDeparture();
+    CHECK(buildDeparture.leaves());
+    CHECK(buildDeparture.incarnation() == before.incarnation());
+    CHECK(buildDeparture.sequence() > before.sequence());
 }
--- a/tests/placement/placementservertest.cpp
+++ b/tests/placement/placementservertest.cpp
@@ -33,11 +33,11 @@
 }
 
 /// An entry VM's state, as its client would tell it.
-struct Entry
+struct EntryVm
 {
     v1::EntryState state;
 
-    explicit Entry(std::uint64_t incarnation = 7)
+    explicit EntryVm(std::uint64_t incarnation = 7)
     {
         state.set_incarnation(incarnation);
     }
@@ -46,7 +46,7 @@
         state.set_sequence(state.sequence() + 1);
         return state;
     }
-    void asks(std::uint64_t id, std::uint32_t rank = Routine, int answerInMs = 8000)
+    void addAsk(std::uint64_t id, std::uint32_t rank = Routine, int answerInMs = 8000)
     {
         v1::PlacementAsk &ask = *state.add_asks();
         ask.set_id(id);
@@ -55,7 +55,7 @@
         ask.set_objective_in_ms(400);
         ask.set_answer_in_ms(answerInMs);
     }
-    void isSent(std::uint64_t id, const std::string &upstream)
+    void addPlaced(std::uint64_t id, const std::string &upstream)
     {
         v1::PlacedRequest &placed = *state.add_placed();
         placed.set_id(id);
@@ -78,7 +78,7 @@
     return ids;
 }
 
-std::size_t refusals(const std::vector<PlacementServer::Reply> &replies)
+std::size_t refusalCount(const std::vector<PlacementServer::Reply> &replies)
 {
     std::size_t count = 0;
     for (const auto &[to, reply] : replies) {
@@ -97,11 +97,11 @@
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 2)}, Start);
-    Entry one;
-    Entry two;
-    one.asks(1);
-    one.asks(2);
-    two.asks(1);
+    EntryVm one;
+    EntryVm two;
+    one.addAsk(1);
+    one.addAsk(2);
+    two.addAsk(1);
     server.handleState(Vm1, one.next(), Start);
     server.handleState(Vm2, two.next(), Start);
     const auto replies = server.advance(Start);
@@ -113,15 +113,15 @@
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
-    Entry one;
-    Entry two;
-    one.asks(1, Routine);
+    EntryVm one;
+    EntryVm two;
+    one.addAsk(1, Routine);
     server.handleState(Vm1, one.next(), Start);
     REQUIRE(grantedTo(Vm1, server.advance(Start)) == Ids{1});
     one.state.clear_asks();
-    one.isSent(1, "a");
-    one.asks(2, Routine);
-    two.asks(5, Committee);
+    one.addPlaced(1, "a");
+    one.addAsk(2, Routine);
+    two.addAsk(5, Committee);
     server.handleState(Vm1, one.next(), after(10));
     server.handleState(Vm2, two.next(), after(20));
     REQUIRE(server.waitingCount() == 2);
@@ -138,8 +138,8 @@
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 2)}, Start);
-    Entry entry;
-    entry.asks(1);
+    EntryVm entry;
+    entry.addAsk(1);
     server.handleState(Vm1, entry.next(), Start);
     REQUIRE(grantedTo(Vm1, server.advance(Start)) == Ids{1});
     server.handleState(Vm1, entry.next(), after(5));
@@ -158,12 +158,12 @@
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
-    Entry entry;
-    entry.asks(1);
+    EntryVm entry;
+    entry.addAsk(1);
     server.handleState(Vm1, entry.next(), Start);
     REQUIRE(grantedTo(Vm1, server.advance(Start)) == Ids{1});
-    Entry other;
-    other.asks(9);
+    EntryVm other;
+    other.addAsk(9);
     server.handleState(Vm2, other.next(), Start);
     REQUIRE(grantedTo(Vm2, server.advance(after(1))).empty());
     SECTION("its caller left before the grant came")
@@ -173,7 +173,7 @@
     }
     SECTION("a new process tells its own state")
     {
-        Entry restarted(8);
+        EntryVm restarted(8);
         server.handleState(Vm1, restarted.next(), after(10));
     }
     SECTION("silence")
@@ -188,9 +188,9 @@
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
-    Entry entry;
+    EntryVm entry;
     const v1::EntryState empty = entry.next();
-    entry.asks(1);
+    entry.addAsk(1);
     server.handleState(Vm1, entry.next(), Start);
     server.handleState(Vm1, empty, Start);
     CHECK(grantedTo(Vm1, server.advance(Start)) == Ids{1});
@@ -202,10 +202,10 @@
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 2)}, Start);
-    Entry entry;
-    entry.isSent(1, "a");
-    entry.isSent(2, "a");
-    entry.asks(3);
+    EntryVm entry;
+    entry.addPlaced(1, "a");
+    entry.addPlaced(2, "a");
+    entry.addAsk(3);
     server.handleState(Vm1, entry.next(), Start);
     CHECK(grantedTo(Vm1, server.advance(Start)).empty());
     entry.state.mutable_placed()->RemoveLast();
@@ -217,15 +217,15 @@
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
-    Entry entry;
-    entry.isSent(1, "a");
-    entry.asks(2, Committee);
-    entry.asks(3, Routine);
+    EntryVm entry;
+    entry.addPlaced(1, "a");
+    entry.addAsk(2, Committee);
+    entry.addAsk(3, Routine);
     server.handleState(Vm1, entry.next(), Start);
-    CHECK(refusals(server.advance(after(300))) == 0);
+    CHECK(refusalCount(server.advance(after(300))) == 0);
     // A start after 350 ms would be too late for an answer within 400.
     const auto replies = server.advance(after(351));
-    REQUIRE(refusals(replies) == 2);
+    REQUIRE(refusalCount(replies) == 2);
     CHECK(replies.front().second.refusals(0).retry_after_ms() >= 500);
 }
 
@@ -234,9 +234,9 @@
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
-    Entry entry;
-    entry.isSent(1, "a");
-    entry.asks(2);
+    EntryVm entry;
+    entry.addPlaced(1, "a");
+    entry.addAsk(2);
     server.handleState(Vm1, entry.next(), Start);
     server.advance(Start);
     CHECK(server.advance(after(10)).empty());
@@ -254,9 +254,9 @@
     organisation.set_rate_per_s(100);
     organisation.set_burst(1000);
     server.setRoutes(routes, Start);
-    Entry entry;
+    EntryVm entry;
     for (std::uint64_t id = 1; id <= 3; ++id) {
-        entry.asks(id);
+        entry.addAsk(id);
         entry.state.mutable_asks()->rbegin()->set_organisation("ensemble");
         entry.state.mutable_asks()->rbegin()->set_cost(400);
     }
@@ -264,12 +264,12 @@
     server.handleState(Vm1, entry.next(), Start);
     const auto replies = server.advance(Start);
     CHECK(grantedTo(Vm1, replies) == Ids{1});
-    REQUIRE(refusals(replies) == 1);
+    REQUIRE(refusalCount(replies) == 1);
     CHECK(replies.front().second.refusals(0).id() == 3);
     CHECK(replies.front().second.refusals(0).reason() == v1::PLACEMENT_OVER_LIMIT);
     // The second is refused for want of room; the limit is then as if it had never asked.
     const auto later = server.advance(after(1300));
-    REQUIRE(refusals(later) == 1);
+    REQUIRE(refusalCount(later) == 1);
     CHECK(later.front().second.refusals(0).reason() == v1::PLACEMENT_NO_ROOM);
     v1::LoadNotice notice;
     server.writeNotice(notice, false, after(1300));
@@ -281,9 +281,9 @@
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
-    Entry entry;
-    entry.asks(1);
-    entry.asks(2);
+    EntryVm entry;
+    entry.addAsk(1);
+    entry.addAsk(2);
     server.handleState(Vm1, entry.next(), Start);
     REQUIRE(grantedTo(Vm1, server.advance(Start)) == Ids{1});
     entry.state.clear_asks();
@@ -307,8 +307,8 @@
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
-    Entry entry;
-    entry.asks(1);
+    EntryVm entry;
+    entry.addAsk(1);
     server.handleState(Vm1, entry.next(), after(5000));
     CHECK(grantedTo(Vm1, server.advance(after(5000))).empty());
     SECTION("the list is read")
@@ -344,26 +344,26 @@
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1), engine("b", 1)}, Start);
-    Entry entry;
+    EntryVm entry;
     SECTION("it still waited here")
     {
-        Entry other;
-        other.isSent(8, "a");
-        other.isSent(9, "b");
+        EntryVm other;
+        other.addPlaced(8, "a");
+        other.addPlaced(9, "b");
         server.handleState(Vm2, other.next(), Start);
-        entry.asks(1);
+        entry.addAsk(1);
         server.handleState(Vm1, entry.next(), Start);
         other.state.clear_placed();
         server.handleState(Vm2, other.next(), Start);
     }
     SECTION("it was granted here, and the grant was lost")
     {
-        entry.asks(1);
+        entry.addAsk(1);
         server.handleState(Vm1, entry.next(), Start);
         REQUIRE(grantedTo(Vm1, server.advance(Start)) == Ids{1});
     }
     entry.state.clear_asks();
-    entry.isSent(1, "b");
+    entry.addPlaced(1, "b");
     server.handleState(Vm1, entry.next(), after(20));
     CHECK(grantedTo(Vm1, server.advance(after(20))).empty());
     v1::LoadNotice notice;
@@ -387,8 +387,8 @@
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
-    Entry entry;
-    entry.asks(1);
+    EntryVm entry;
+    entry.addAsk(1);
     server.handleState(Vm1, entry.next(), Start);
     CHECK_FALSE(server.advance(Start).front().second.tell_all());
     server.expireTimedOut(after(1600));
@@ -399,11 +399,11 @@
     REQUIRE(replies.size() == 1);
     CHECK(replies.front().second.tell_all());
     entry.state.clear_unchanged();
-    entry.asks(1);
+    entry.addAsk(1);
     server.handleState(Vm1, entry.next(), after(1710));
-    const auto told = server.advance(after(1710));
-    CHECK(grantedTo(Vm1, told) == Ids{1});
-    CHECK_FALSE(told.front().second.tell_all());
+    const auto resent = server.advance(after(1710));
+    CHECK(grantedTo(Vm1, resent) == Ids{1});
+    CHECK_FALSE(resent.front().second.tell_all());
 }
 
 // What callers see: an organisation far below its limit is refused (429), because many of its callers left while they waited, and each took its
@@ -418,9 +418,9 @@
     organisation.set_rate_per_s(100);
     organisation.set_burst(1000);
     server.setRoutes(routes, Start);
-    Entry entry;
-    entry.isSent(1, "a");
-    entry.asks(2);
+    EntryVm entry;
+    entry.addPlaced(1, "a");
+    entry.addAsk(2);
     entry.state.mutable_asks()->rbegin()->set_organisation("ensemble");
     entry.state.mutable_asks()->rbegin()->set_cost(400);
     server.handleState(Vm1, entry.next(), Start);
@@ -438,9 +438,9 @@
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 2)}, Start);
-    Entry entry;
-    entry.asks(1);
-    entry.asks(2);
+    EntryVm entry;
+    entry.addAsk(1);
+    entry.addAsk(2);
     server.handleState(Vm1, entry.next(), Start);
     REQUIRE(grantedTo(Vm1, server.advance(Start)).size() == 2);
     v1::EntryState departure;
@@ -451,8 +451,8 @@
         departure.set_sequence(2);
         server.handleState(Vm1, departure, after(1));
         CHECK_FALSE(server.hasRequests());
-        Entry other;
-        other.asks(5);
+        EntryVm other;
+        other.addAsk(5);
         server.handleState(Vm2, other.next(), after(2));
         CHECK(grantedTo(Vm2, server.advance(after(2))) == Ids{5});
     }
@@ -477,21 +477,21 @@
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
-    Entry entry;
-    entry.isSent(1, "a");
-    entry.asks(2);
+    EntryVm entry;
+    entry.addPlaced(1, "a");
+    entry.addAsk(2);
     entry.state.mutable_asks()->rbegin()->set_objective_in_ms(-50);
-    entry.asks(3);
+    entry.addAsk(3);
     server.handleState(Vm1, entry.next(), Start);
     const auto replies = server.advance(Start);
-    REQUIRE(refusals(replies) == 1);
+    REQUIRE(refusalCount(replies) == 1);
     CHECK(replies.front().second.refusals(0).id() == 2);
     CHECK(server.waitingCount() == 1);
     SECTION("it takes one that is free now")
     {
         entry.state.clear_placed();
         entry.state.clear_asks();
-        entry.asks(4);
+        entry.addAsk(4);
         entry.state.mutable_asks()->rbegin()->set_objective_in_ms(-50);
         server.handleState(Vm1, entry.next(), after(10));
         CHECK(grantedTo(Vm1, server.advance(after(10))) == Ids{4});
@@ -504,7 +504,7 @@
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
-    Entry entry;
+    EntryVm entry;
     for (std::uint64_t id = 1; id <= 20; ++id) {
         entry.state.clear_placed();
         entry.state.clear_ended();
@@ -514,27 +514,27 @@
         placed.set_prompt_tokens(static_cast<std::uint32_t>(1000 * id));
         server.handleState(Vm1, entry.next(), Start);
     }
-    entry.asks(50);
+    entry.addAsk(50);
     entry.state.mutable_asks()->rbegin()->set_prompt_tokens(4'000'000);
     server.handleState(Vm1, entry.next(), Start);
-    CHECK(refusals(server.advance(after(190))) == 0);
-    CHECK(refusals(server.advance(after(400))) == 1);
+    CHECK(refusalCount(server.advance(after(190))) == 0);
+    CHECK(refusalCount(server.advance(after(400))) == 1);
 }
 
 TEST_CASE("a server asks for the pace of an upstream that it does not know")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 2)}, Start);
-    Entry entry;
-    entry.asks(1);
+    EntryVm entry;
+    entry.addAsk(1);
     server.handleState(Vm1, entry.next(), Start);
     const auto first = server.advance(Start);
     REQUIRE(grantedTo(Vm1, first) == Ids{1});
     CHECK(first.front().second.grants(0).pace_wanted());
     entry.state.clear_asks();
-    entry.isSent(1, "a");
+    entry.addPlaced(1, "a");
     entry.state.mutable_placed(0)->set_early_pace_ms(12);
-    entry.asks(2);
+    entry.addAsk(2);
     server.handleState(Vm1, entry.next(), after(50));
     const auto second = server.advance(after(50));
     REQUIRE(grantedTo(Vm1, second) == Ids{2});
--- a/tests/platform/documentstest.cpp
+++ b/tests/platform/documentstest.cpp
@@ -98,7 +98,7 @@
     CHECK(instance.dataCentre == DataCentreName{"z-a"});
     CHECK(instance.slots == 6);
     CHECK_FALSE(instance.draining);
-    CHECK(instance.born == 12);
+    CHECK(instance.startedAtMs == 12);
     CHECK(valueOf(page).nextPage == "p-50");
 }
 
