--- a/src/placement/firsteventmodel.h
+++ b/src/placement/firsteventmodel.h
@@ -7,18 +7,20 @@
 namespace cumindyke
 {
 
-/// How long a service's engines take to a first event, learned from answers: a fixed part and a part for each prompt token that is read
-/// before it. Both are for an engine of slowness 1; those of another speed take that many times as long.
+/// Linear model of the time from sending a request to a model engine until its first event, fitted to the answers of one service: a fixed part and a
+/// part per prompt token that the engine processes before the event (prefill). Both parts are for an engine of slowness 1; on another engine the time
+/// is multiplied by its slowness.
 ///
-/// A recursive least-squares line with forgetting: engines and their load change over minutes, and some hundred answers are seen in one.
+/// Least squares with exponential forgetting: engines and their load change over minutes, in which a few hundred answers arrive.
 class FirstEventModel
 {
 public:
-    /// A first event came after so long on an engine of this slowness, with so many tokens to read, its own prompt and those before it.
+    /// Records the time to a first event on an engine of this slowness. "tokens" counts the request's own prompt and the prompts queued before
+    /// it.
     void record(double tokens, double milliseconds, double slowness);
-    /// Milliseconds to the first event; 0 while nothing was learned.
+    /// Predicted milliseconds to the first event; 0 while too few answers are recorded.
     double predictedMs(double tokens, double slowness) const;
-    /// Of these, what the reading of the tokens takes; 0 while nothing was learned.
+    /// The part of predictedMs() that is spent on the prompt tokens; 0 while too few answers are recorded.
     double predictedPrefillMs(double tokens, double slowness) const;
 
 private:
--- a/src/placement/fleetlimits.cpp
+++ b/src/placement/fleetlimits.cpp
@@ -11,25 +11,25 @@
 namespace
 {
 
-/// A few requests of each organisation, and short enough to follow a burst.
+/// Spans a few requests of each organisation, yet is short enough to follow a burst.
 constexpr std::chrono::duration<double> DemandWindow{2};
-/// Callers come back at least this much later, so that the level has changed.
+/// Lets the bucket's level change before callers retry.
 constexpr Duration MinRetryAfter = std::chrono::milliseconds(100);
 constexpr Duration MaxRetryAfter = std::chrono::seconds(5);
-/// While several times the limit is asked for, most of those that come back at once are refused again: they are sent away for longer.
+/// Additional wait per multiple of the limit that is demanded: with a shorter wait most of the returning requests would be refused again.
 constexpr std::chrono::duration<double> RetryAfterPerOverload{0.1};
-/// How much of the more urgent demand is left to it: what comes within the time that a refusal of it would last.
+/// Reserve for more urgent requests: what they demand within the time that a refusal of them would last.
 constexpr double UrgentReserveSeconds = 0.2;
-/// Of the tokens of a second.
+/// A request is small if it costs less than this share of a second's rate; it need not leave a reserve.
 constexpr double SmallRequestRatio = 0.01;
-/// A server that begins knows nothing of what was admitted just before: half of the burst may be spent twice then. With less, callers near
-/// their limit would be refused for seconds.
+/// A starting server does not know what was admitted just before, so up to half of the burst may be spent twice. With a lower initial level, callers
+/// near their limit would be refused for seconds.
 constexpr double InitialLevelRatio = 0.5;
-/// A larger debt is forgiven: callers below the limit would pay for seconds for what others were given by mistake. With a quarter of a second,
-/// servers that heard of each other late gave out almost a quarter more than the limit in eight seconds.
+/// A larger debt is forgiven: callers below the limit would pay for seconds for what others were admitted by mistake. With a quarter of a second,
+/// servers whose notices arrived late admitted almost a quarter more than the limit over eight seconds.
 constexpr double MaxDebtSeconds = 1;
 
-/// What was admitted is told again so often though it has not changed, for those that missed the notice of the change.
+/// Unchanged admissions are repeated after this many notices, for servers that missed the notice of the change.
 constexpr std::uint64_t NoticesPerSpendRepeat = 8;
 
 double toSeconds(Duration duration)
@@ -60,7 +60,7 @@
 void FleetLimits::setCoverage(double coverage, TimePoint now)
 {
     const double next = std::clamp(coverage, 0.0, 1.0);
-    // With nobody left to admit anything there is nothing to take from.
+    // With a coverage of 0 there is no level to scale.
     if (next > 0 && m_coverage > 0 && next != m_coverage) {
         for (auto &[name, bucket] : m_buckets) {
             refill(bucket, now);
@@ -70,8 +70,8 @@
     m_coverage = next;
 }
 
-/// What a smaller part takes with it comes back with a larger one. Only that is scaled, not what was spent: a server that begins with one entry VM of many
-/// would count that VM's first request many times over.
+/// What a lower coverage withholds is restored when the coverage rises again. Only the remaining level is scaled, not what was spent: otherwise a
+/// server that starts with one of many entry VMs would count that VM's first request many times over.
 void FleetLimits::scaleToCoverage(Bucket &bucket, double coverage) const
 {
     if (coverage < m_coverage) {
@@ -115,8 +115,8 @@
     return ratePerSecond * std::exp(-toSeconds(now - updatedAt) / DemandWindow.count());
 }
 
-/// An organisation over its limit takes whatever comes in the moment it comes, so that urgent requests are refused for what routine ones have just taken.
-/// What more urgent ones ask for in a moment is left to them. A request that is small beside the limit costs them nothing.
+/// An organisation over its limit spends tokens the moment they arrive, so urgent requests would be refused because routine ones have just spent the
+/// tokens. Leaves the short-term demand of more urgent ranks to them. A request that is small compared with the limit need not leave a reserve.
 double FleetLimits::reserveForUrgent(const Bucket &bucket, std::uint64_t cost, PriorityRank rank, TimePoint now) const
 {
     const bool isWithinLimit = bucket.demand.currentRate(now) <= m_coverage * bucket.rate;
@@ -141,7 +141,7 @@
     bucket.demand.record(static_cast<double>(cost), now);
     bucket.demandByRank[rank].record(static_cast<double>(cost), now);
     const double reserved = reserveForUrgent(bucket, cost, rank, now);
-    // A request may take the level below zero: one that is larger than the whole burst would never pass otherwise.
+    // A request may take the level below zero: a request larger than the whole burst could never pass otherwise.
     if (*bucket.level > reserved) {
         bucket.admitted += static_cast<std::int64_t>(cost);
         m_spendsChangedSinceNotice = true;
@@ -171,7 +171,7 @@
     if (found == m_buckets.end() || found->second.rate == 0 || found->second.level.value_or(1) > 0) {
         return Duration::zero();
     }
-    // At the whole rate, since another server may hear of more VMs than this one.
+    // Uses the whole rate, since another server may cover more VMs than this one.
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(-*found->second.level / found->second.rate));
 }
 
@@ -190,10 +190,11 @@
 void FleetLimits::handleNotice(const VmName &from, const v1::LoadNotice &notice, bool adoptLevels, TimePoint now)
 {
     if (notice.spends().empty()) {
-        return; // They are as they were told last.
+        return; // The admissions are unchanged since the last notice that listed them.
     }
     Peer &peer = m_peers[from];
-    // What a server counted before it was first heard of belongs to the time before. A process that restarted counts from zero again.
+    // What a server counted before its first notice arrived here belongs to the time before and is not charged. A restarted process counts from
+    // zero again.
     const bool isFirstNotice = peer.incarnation == 0;
     const bool restarted = peer.incarnation != notice.incarnation();
     if (!restarted && notice.sequence() <= peer.sequence) {
--- a/src/placement/fleetlimits.h
+++ b/src/placement/fleetlimits.h
@@ -13,13 +13,13 @@
 namespace cumindyke
 {
 
-/// The limits of the organisations over all VMs, as a placement server keeps them: for each a bucket that the rate fills and admitted
-/// requests empty. Pure: time is an argument.
+/// Rate limits of the organisations over the whole fleet, as seen by one placement server: a token bucket per organisation that is refilled at the
+/// limit's rate and charged by admitted requests. Pure: time is an argument.
 ///
-/// Each server keeps the whole bucket: it charges what it admits itself at once, and what the others admit when their notices tell, some
-/// milliseconds later. So below its limit an organisation is not refused, however unevenly its requests come, and a jump of its demand is
-/// known everywhere within one notice. A server that hears only part of the others fills its buckets with only the part of the rate that
-/// belongs to the entry VMs it knows of: servers that are cut off from each other can't spend the same tokens twice.
+/// Every server keeps the whole bucket. It charges its own admissions at once and those of other servers when their load notices arrive, some
+/// milliseconds later. An organisation below its limit is therefore never refused, however unevenly its requests are spread, and a jump of its demand
+/// is known everywhere within one notice. A server that receives notices of only a part of the other servers refills its buckets in proportion to the
+/// entry VMs that it knows of, so servers that are partitioned from each other can't spend the same tokens twice.
 class FleetLimits
 {
 public:
@@ -29,28 +29,30 @@
     {
     }
 
-    /// The limits in force.
+    /// Sets the limits in force.
     void setRoutes(const v1::RouteTable &routes, TimePoint now);
-    /// Part of all entry VMs, 0 to 1, whose admissions are known here. A smaller part takes its share of the levels with it.
+    /// Sets the share of all entry VMs, 0 to 1, whose admissions are known here. When the share decreases, the bucket levels are scaled down with
+    /// it.
     void setCoverage(double coverage, TimePoint now);
-    /// What another server's process has admitted since its start, and what it takes the levels for.
-    /// While nobody asks here, its levels are taken over.
+    /// Applies the admissions that another server's process has counted since its start, and its bucket levels. With "adoptLevels", while this
+    /// server has no requests, its levels replace the local ones.
     void handleNotice(const VmName &from, const v1::LoadNotice &notice, bool adoptLevels, TimePoint now);
-    /// For notices: all that was admitted here if any of it changed, and by turns; the levels too if the receiver may have to go on from them.
+    /// Writes the admissions counted here, if any of them changed and periodically otherwise. "withLevels" adds the bucket levels, for a receiver
+    /// that may have to take over.
     void writeNotice(v1::LoadNotice &notice, bool withLevels, TimePoint now);
 
-    /// Admits the cost. None: admitted; otherwise how long until a request like it is likely to pass. While an organisation asks for more than its limit,
-    /// requests of lower ranks leave a reserve to the more urgent ones.
+    /// Admits a request of this cost, or returns the time after which a similar request is likely to be admitted. While an organisation's demand
+    /// exceeds its limit, requests of lower ranks leave a reserve to more urgent ones.
     std::optional<Duration> tryAdmit(const std::string &organisation, std::uint64_t cost, PriorityRank rank, TimePoint now);
-    /// Admitted, and refused after all for another reason.
+    /// Refunds a request that was admitted but is refused for another reason.
     void refund(const std::string &organisation, std::uint64_t cost);
-    /// How long no request of it can pass, unless something is given back.
+    /// Time during which no request of the organisation can be admitted, unless something is refunded.
     Duration timeUntilOpen(const std::string &organisation) const;
-    /// What the last decision about the organisation was made from, for the log.
+    /// Inputs of the last decision about the organisation, for the log.
     std::string describeDecision(const std::string &organisation) const;
 
 private:
-    /// What is asked for a second, averaged over some seconds.
+    /// Demand per second, averaged with exponential decay over DemandWindow.
     struct DecayingRate
     {
         double ratePerSecond = 0;
@@ -61,18 +63,18 @@
     };
     struct Bucket
     {
-        /// None: no limit.
+        /// Tokens (or requests) per second; 0: no limit.
         double rate = 0;
         double burst = 0;
         std::optional<double> level;
-        /// What belongs to the VMs that are not covered; it comes back as they are heard of.
+        /// The share of entry VMs that are not covered; restored as they become covered.
         double withheld = 0;
         TimePoint refilledAt;
-        /// Admitted here since the start of the process.
+        /// Admitted by this process since its start.
         std::int64_t admitted = 0;
-        /// Here and elsewhere.
+        /// Demand at all servers.
         DecayingRate demand;
-        /// Here.
+        /// Demand at this server.
         std::map<PriorityRank, DecayingRate> demandByRank;
     };
     struct Peer
--- a/src/placement/listschedule.cpp
+++ b/src/placement/listschedule.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-/// Between two surveys. Data centres come and go with the platform's building work, not with its load.
+/// Time between two discoveries. Data centres are added and removed by construction work, not with load.
 constexpr Duration DiscoveryInterval = std::chrono::seconds(60);
-/// The farther parts may be wanted at any moment.
+/// Parts of remote data centres may become wanted at any moment.
 constexpr Duration CheckInterval = std::chrono::milliseconds(100);
 
 }
--- a/src/placement/listschedule.h
+++ b/src/placement/listschedule.h
@@ -9,28 +9,28 @@
 namespace cumindyke
 {
 
-/// What is read of the platform's list next.
+/// The next read of the platform's list of upstreams.
 struct ListRead
 {
     enum class Scope {
-        Whole, ///< all of it; given up for the parts when it has many pages
+        Whole, ///< the whole list; abandoned in favour of parts when it has many pages
         DataCentre, ///< the upstreams of one data centre
-        Discovery, ///< one page of the whole, only to learn which data centres there are
+        Discovery, ///< one page of the whole list, only to discover data centres
     };
     Scope scope = Scope::Whole;
     DataCentreName dataCentre;
-    /// Of the first page.
+    /// Token of the page to start at.
     std::string pageToken;
 };
 
-/// Which part of the platform's list a placement server reads, and when. Pure: time is an argument.
+/// Decides which part of the platform's list of upstreams a placement server reads, and when. Pure: time is an argument.
 ///
-/// A list of some pages is read whole. Of a longer one a server reads its own data centre's part, and the others only while its own upstreams are not
-/// enough: the whole of a long list would take much of a small VM's link and processor each second.
+/// A list of few pages is read whole. Of a longer list a server reads the part of its own data centre, and the other parts only while its local
+/// upstreams do not suffice: reading a long list whole every second would take much of a small VM's bandwidth and CPU.
 class ListSchedule
 {
 public:
-    /// More pages than these are not read whole.
+    /// A list with more pages is not read whole.
     static constexpr std::size_t MaxWholePages = 2;
 
     ListSchedule(DataCentreName localDataCentre, Duration interval)
@@ -39,18 +39,18 @@
     {
     }
 
-    /// Everything is due again: what was read before is as old as the pause.
+    /// Makes all reads due, since after a pause everything that was read before is outdated.
     void reset();
-    /// What to read now, if anything is due.
+    /// Returns the read that is due, if any.
     std::optional<ListRead> nextRead(bool remoteWanted, TimePoint now) const;
 
-    /// When nothing is due now: how long until something may be.
+    /// Returns the time after which to call nextRead() again when nothing is due now.
     Duration timeUntilNextCheck(TimePoint now) const;
 
-    /// A data centre that has upstreams or entry VMs.
+    /// Registers a data centre that has upstreams or entry VMs.
     void addDataCentre(const DataCentreName &dataCentre);
     void onWholeRead(TimePoint now);
-    /// The whole has more pages than are read at a time.
+    /// Switches to reading by parts, since the whole list has more than MaxWholePages pages.
     void switchToParts()
     {
         m_inParts = true;
@@ -60,9 +60,9 @@
         return m_inParts;
     }
     void onPartRead(const DataCentreName &dataCentre, TimePoint now);
-    /// A page of the survey was read; the last one has no next.
+    /// Records that a page was read for discovery. "nextPage" is empty after the last page.
     void onDiscoveryPageRead(const std::string &nextPage, TimePoint now);
-    /// The reading is given up; it is due again after the interval.
+    /// Records that the read failed; it is due again after the interval.
     void onReadFailed(const ListRead &failedRead, TimePoint now);
 
 private:
@@ -70,7 +70,7 @@
     const Duration m_interval;
     bool m_inParts = false;
     TimePoint m_wholeDueAt{};
-    /// When each data centre's part is due; farther ones only while they are wanted.
+    /// When the part of each data centre is due. Parts of remote data centres are only read while they are wanted.
     std::map<DataCentreName, TimePoint> m_partsDueAt;
     TimePoint m_discoveryDueAt{};
     std::string m_discoveryPageToken;
--- a/src/placement/pauseratioestimator.cpp
+++ b/src/placement/pauseratioestimator.cpp
@@ -8,15 +8,16 @@
 namespace
 {
 
-/// Streams that are expected to stay below the ratio.
+/// Share of streams that should stay below the ratio.
 constexpr double Quantile = 0.8;
-/// How far one stream moves the ratio: about the last hundred count.
+/// Relative change of the ratio per stream: about the last hundred streams count.
 constexpr double StepSize = 0.05;
 constexpr int MinStreams = 20;
 
 }
 
-/// A quantile by stochastic approximation: up by Part for each stream above it, down by the rest for each below.
+/// Estimates the quantile by stochastic approximation: each stream above the ratio raises it in proportion to Quantile, each one below lowers it in
+/// proportion to 1 - Quantile.
 void PauseRatioEstimator::record(double meanMs, double longestPauseMs)
 {
     if (meanMs <= 0 || longestPauseMs < meanMs) {
--- a/src/placement/pauseratioestimator.h
+++ b/src/placement/pauseratioestimator.h
@@ -3,15 +3,15 @@
 namespace cumindyke
 {
 
-/// How much longer than the mean pause between events the longest one of a stream gets, learned from ended streams of one service.
+/// Estimates a high quantile of the ratio between the longest and the mean pause between events, over the finished streams of one service.
 ///
-/// An engine reads new prompts between the steps of the streams that it runs, part by part, so the pauses of these grow up to a bound that depends
-/// on its parts and steps. Both take a slow engine as many times as long, so one ratio holds for engines of all speeds.
+/// An engine processes new prompts in chunks between the steps of its running streams, so the pauses of these streams grow up to a bound that depends
+/// on chunk and step size. Both scale with the engine's slowness, so one ratio holds for engines of all speeds.
 class PauseRatioEstimator
 {
 public:
     void record(double meanMs, double longestPauseMs);
-    /// Four of five streams stay below it; 0 while too few were seen.
+    /// The ratio that four of five streams stay below; 0 while too few streams are recorded.
     double ratio() const;
 
 private:
--- a/src/placement/placementclient.cpp
+++ b/src/placement/placementclient.cpp
@@ -11,11 +11,11 @@
 namespace
 {
 
-/// Five signs of life (PlacementServer, 30 ms apart). A VM whose CPU quota is used up stands still for a tenth of a second at most.
+/// Five keepalives (PlacementServer sends one every 30 ms). A VM whose CPU quota is used up stalls for at most a tenth of a second.
 constexpr Duration ServerTimeout = std::chrono::milliseconds(150);
-/// A VM that restarted or was frozen is back in some seconds; asked sooner, each try costs a silence.
+/// A VM that restarted or was frozen is back within some seconds; using it again sooner costs a timeout each time.
 constexpr Duration ExclusionTime = std::chrono::seconds(3);
-/// At some 65 bytes an ask this is 26 KB, under half of what a datagram carries; the rest is told when these have ended.
+/// At some 65 bytes per placement request this makes 26 KB, under half of a datagram's capacity. The rest is sent when these requests have ended.
 constexpr std::size_t MaxRequestsPerState = 400;
 
 std::string describeInputs(const v1::PlacementGrant &grant, const VmName &from)
@@ -133,7 +133,7 @@
     return state;
 }
 
-/// Another server, or another process of it, is told everything.
+/// A different server, or a restarted one, needs all requests in full.
 void PlacementClient::resetConfirmed()
 {
     m_confirmedSequence = 0;
@@ -204,8 +204,8 @@
     return answers;
 }
 
-/// None: the caller has left, or the grant came twice, or its address can't be read (another version of the program sent it; the request ends at its
-/// own time limit).
+/// Returns nothing if the caller has left, the grant is a duplicate, or its address can't be parsed (it comes from another version of the program;
+/// the request then ends at its own deadline).
 std::optional<PlacementGranted> PlacementClient::handleGrant(const VmName &from, const v1::PlacementGrant &grant)
 {
     const auto found = m_requests.find(PlacementId{grant.id()});
--- a/src/placement/placementclient.h
+++ b/src/placement/placementclient.h
@@ -13,7 +13,7 @@
 namespace cumindyke
 {
 
-/// A request that waits for room at an upstream.
+/// A request that waits for a free slot at an upstream.
 struct SlotRequest
 {
     ServiceName service;
@@ -21,58 +21,60 @@
     std::uint32_t rank = 0;
     /// 0: a plain request.
     std::uint32_t promptTokens = 0;
-    /// Until when an answer is on time, and of any use.
+    /// An answer is on time until objectiveAt, and of use until the deadline.
     TimePoint objectiveAt;
     TimePoint deadline;
-    /// 0 to 999, from the request's id: which part of a rollout's split it belongs to.
+    /// 0 to 999, a hash of the request's id that selects the version while a rollout splits the traffic.
     std::uint32_t rolloutPermille = 0;
     std::set<InstanceName> tried;
-    /// Whose limit it is charged to, and how many tokens (or requests); empty for a further try, and on a route that is open to all.
+    /// The organisation whose limit is charged, and the cost in tokens (or requests). Empty for further attempts and on routes that are open to
+    /// all.
     OrganisationName organisation;
     std::uint64_t cost = 0;
-    /// Milliseconds between events, for an answer on time; 0: none is set.
+    /// Longest pause between events, in milliseconds, with which the answer is on time; 0: no limit.
     std::uint32_t maxPauseMs = 0;
-    /// Events that the answer is likely to have; 0: not known.
+    /// Expected number of events in the answer; 0: unknown.
     std::uint32_t expectedEvents = 0;
 };
 
-/// How an upstream worked on a request, as far as its answer showed it.
+/// Pace of an upstream's answer, as observed by the entry VM.
 struct AnswerPace
 {
-    /// Milliseconds between events of a stream, or to a plain answer's end; 0: unknown.
+    /// Mean milliseconds between the events of a stream, or until the end of a plain answer; 0: unknown.
     double meanMs = 0;
-    /// Milliseconds of the longest pause between two events; 0: unknown.
+    /// Longest pause between two events in milliseconds; 0: unknown.
     std::uint32_t longestPauseMs = 0;
 };
 
-/// The request may be sent to this upstream, now.
+/// A granted slot: the request may be sent to this upstream now.
 struct PlacementGranted
 {
     PlacementId id;
     UpstreamInstance upstream;
-    /// What the choice was made from, for the log.
+    /// Inputs of the placement decision, for the log.
     std::string inputs;
-    /// See PlacementClient::recordEarlyPace.
+    /// The server wants PlacementClient::recordEarlyPace() to be called.
     bool paceWanted = false;
 };
 
-/// There was no room in time, or the organisation's limit is reached.
+/// A refusal: no slot became free in time, or the organisation's limit is reached.
 struct PlacementRefused
 {
     PlacementId id;
     Duration retryAfter;
     bool overLimit = false;
     std::string inputs;
-    /// Over the limit: nothing of the organisation can pass for so long.
+    /// If over the limit: time during which no request of the organisation can be admitted.
     Duration timeUntilOpen{};
 };
 
 using PlacementAnswer = std::variant<PlacementGranted, PlacementRefused>;
 
-/// An entry VM's side of placement: what it has waiting and under way, and whom it asks. Pure: time is an argument.
+/// The entry VM's side of placement: tracks its waiting and placed requests and chooses the placement server. Pure: time is an argument.
 ///
-/// The VMs of a data centre that may be asked are ranked by a hash, so that all VMs ask the same one. One that is silent while something
-/// waits is passed over for some seconds; the last to ask is this VM itself, so a VM that is cut off from all others goes on by itself.
+/// The VMs of a data centre that may act as placement server are ranked by a hash, so that all VMs choose the same one. A server that sends nothing
+/// while requests wait is excluded for some seconds. The last candidate is this VM itself, so a VM that is partitioned from all others places its own
+/// requests.
 class PlacementClient
 {
 public:
@@ -83,37 +85,38 @@
     {
     }
 
-    /// The VMs that may place requests, of all data centres.
+    /// Sets the VMs that may act as placement server, of all data centres.
     void setCandidates(const v1::FleetTally &fleet);
-    /// Whom to ask now.
+    /// Returns the placement server to use now.
     const VmName &server(TimePoint now) const;
-    /// The VMs of each data centre, whom to ask first first.
+    /// Placement servers of each data centre, most preferred first.
     const std::map<DataCentreName, std::vector<VmName>> &rankedServers() const
     {
         return m_rankedServers;
     }
 
     PlacementId requestPlacement(SlotRequest request, TimePoint now);
-    /// It was granted, and its first event came so long after the sending.
+    /// Records the time from sending the granted request to its first event.
     void recordFirstEvent(PlacementId id, Duration after);
-    /// Milliseconds between its first events, where the grant asked for that.
+    /// Records the mean milliseconds between the first events, if the grant asked for it.
     void recordEarlyPace(PlacementId id, double paceMs);
-    /// The sending ended, or the request needs none any more.
+    /// Stops tracking the request: its attempt ended, or it needs no slot any more.
     void ended(PlacementId id, v1::PlacementOutcome outcome, const AnswerPace &pace);
 
-    /// Everything, for the server; the ends since the last call.
+    /// Returns the state to send to the server: all tracked requests, and the attempts that ended since the last call.
     v1::EntryState state(TimePoint now);
-    /// For a server that is asked no more.
+    /// Returns the state to send to a server that is no longer used.
     v1::EntryState buildDeparture();
-    /// Answers of the VM that is asked now; others are ignored, so that its count of what it gave out stays right.
+    /// Returns the decisions in the reply. Replies of VMs other than the current server are ignored, so that the server's count of granted slots
+    /// stays correct.
     std::vector<PlacementAnswer> handleReply(const VmName &from, const v1::PlacementReply &reply, TimePoint now);
-    /// True when the server has been silent for too long and another one is to be asked.
+    /// Excludes the current server if it timed out while requests wait; returns whether it did.
     bool replaceTimedOutServer(TimePoint now);
     std::size_t waitingCount() const
     {
         return m_waitingCount;
     }
-    /// Something is waiting or under way.
+    /// Whether anything is waiting, placed or still to be reported.
     bool isBusy() const
     {
         return !m_requests.empty() || !m_endedRequests.empty();
@@ -127,7 +130,7 @@
         InstanceName upstream;
         std::uint32_t firstEventMs = 0;
         double earlyPaceMs = 0;
-        /// The first state that told it as it is; 0: none yet.
+        /// Sequence number of the first state that contained the request in its present form; 0: none yet.
         std::uint64_t firstSentInState = 0;
     };
 
@@ -149,10 +152,10 @@
     std::map<PlacementId, TrackedRequest> m_requests;
     std::size_t m_waitingCount = 0;
     std::vector<v1::EndedRequest> m_endedRequests;
-    /// The server, and the newest state that it has seen.
+    /// The server that confirmed states of this VM, and the newest state it confirmed.
     VmName m_confirmingServer;
     std::uint64_t m_confirmedSequence = 0;
-    /// The server's last reply, or when there was first something to reply to.
+    /// When the server's last reply was received, or when the first request began to wait.
     TimePoint m_lastReceivedAt{};
 };
 
--- a/src/placement/placementorder.h
+++ b/src/placement/placementorder.h
@@ -8,7 +8,8 @@
 namespace cumindyke
 {
 
-/// The VMs of a data centre are asked for places in this order, the least first: all VMs agree on it without asking each other.
+/// Sort key of the VMs of a data centre that may act as its placement server; the first available VM is used. It depends on the name alone, so all
+/// VMs agree on the order without communicating.
 inline std::pair<std::uint64_t, VmName> placementOrder(const VmName &vm)
 {
     return {checksum(vm.value), vm};
--- a/src/placement/placementserver.cpp
+++ b/src/placement/placementserver.cpp
@@ -8,26 +8,27 @@
 namespace
 {
 
-/// What an answer takes at least while nothing was learned.
+/// Minimum time of an answer while no answers are recorded.
 constexpr Duration MinAnswerTime = std::chrono::milliseconds(50);
-/// Every request may wait for a place for at least half of its objective.
+/// Every request may wait for a slot for at least half of its objective.
 constexpr int MinWaitDivisor = 2;
 constexpr Duration MinRetryAfter = std::chrono::milliseconds(500);
 constexpr Duration MaxRetryAfter = std::chrono::seconds(5);
-/// Without a refusal for this long an overload is over.
+/// An overload is over after this time without a refusal.
 constexpr Duration OverloadTimeout = std::chrono::seconds(1);
-/// A load that its data centre can't carry comes and goes; each time the first requests wait for the others' parts of the list.
+/// Remote parts of the list are read for at least this long. A load that exceeds the data centre's capacity comes and goes, and each time the first
+/// requests have to wait for those parts.
 constexpr Duration RemoteListTime = std::chrono::seconds(3);
-/// An answer that the entry VM does not know of after several round trips was lost.
+/// A decision that the entry VM has not acknowledged after several round trips was lost.
 constexpr Duration ResendTimeout = std::chrono::milliseconds(15);
-/// While something of an entry VM waits, it hears from this server so often that silence means that the server is gone.
+/// Interval of replies to an entry VM with waiting requests; their absence lets the VM detect a failed server.
 constexpr Duration KeepaliveInterval = std::chrono::milliseconds(30);
-/// Notices come every 30 ms. One that is silent for so long is cut off, or goes on under its own part of the limits.
+/// Load notices arrive every 30 ms. A peer that sends none for this long is partitioned, or continues under its own share of the limits.
 constexpr Duration PeerTimeout = std::chrono::milliseconds(400);
-/// Entry VMs tell their state several times a second while they have anything under way.
+/// Entry VMs send their state several times a second while they have any requests.
 constexpr Duration EntryVmTimeout = std::chrono::milliseconds(800);
 
-/// What has no place for a request has none for one that is as large in prompt and answer.
+/// If no slot fits a request, none fits another request whose prompt and answer are both at least as large.
 struct RequestSize
 {
     std::uint32_t promptTokens = 0;
@@ -39,7 +40,7 @@
     }
 };
 
-/// As it stands in messages; nothing there is negative.
+/// Milliseconds as written into messages, which hold no negative numbers.
 std::uint32_t wireMilliseconds(Duration duration)
 {
     return static_cast<std::uint32_t>(std::max<std::int64_t>(0, wholeMilliseconds(duration)));
@@ -124,7 +125,7 @@
         resendDecision(entryVm, PlacementId{id}, now);
     }
     std::ranges::sort(listedIds);
-    // What the state no longer holds has ended, or its caller has left.
+    // Requests missing from the state have ended, or their caller has left.
     std::erase_if(entryVm.requests, [&](const auto &pair) {
         const bool isMissing = !std::ranges::binary_search(listedIds, pair.first.value);
         if (isMissing) {
@@ -134,8 +135,8 @@
     });
 }
 
-/// The VM's requests are counted by the server that it asks now. Counted here as well until the VM counts as silent, they would take every place twice:
-/// for more than a second after each change of servers, requests waited and were refused beside engines with free places.
+/// The VM's requests are now counted by the server that it uses instead. If they stayed counted here until the VM timed out, each would occupy two
+/// slots: for more than a second after each change of servers, requests waited and were refused although engines had free slots.
 void PlacementServer::handleDeparture(const VmName &from, const v1::EntryState &state)
 {
     const auto found = m_entryVms.find(from);
@@ -146,10 +147,10 @@
     m_entryVms.erase(found);
 }
 
-/// The entry VM still waits: an answer that was sent some round trips ago was lost.
+/// Resends a decision that was sent some round trips ago and is still unacknowledged.
 ///
-/// What this server does not know, it has forgotten: it restarted, or stood still until the VM counted as silent. Without being told so the VM
-/// would go on with ids alone: its requests would wait in vain, and those under way would count nowhere.
+/// A request that is unknown here was dropped, because this server restarted, or stalled until the VM timed out. It then asks the VM for its whole
+/// state: otherwise the VM would go on sending ids alone, its waiting requests would never be served, and its placed ones would be counted nowhere.
 void PlacementServer::resendDecision(EntryVm &entryVm, PlacementId id, TimePoint now)
 {
     const auto found = entryVm.requests.find(id);
@@ -211,16 +212,16 @@
     }
     const Duration answerTime = std::max(m_pool.idleFirstEventTime(request.service, request.promptTokens), MinAnswerTime);
     request.latestStart = request.objectiveAt - answerTime;
-    // One that can't be on time any more takes a place that is free now, or is told when to come back: waiting, it would take the next place from those
-    // that can still be on time, and in an overload everybody would be late. A prompt that takes most of its objective to read may wait all the same,
-    // or the longest ones would hardly ever be served.
+    // A request that can no longer be on time gets a slot that is free now or is refused: if it kept waiting, it would use the next slot instead
+    // of a request that can still be on time, and in an overload every request would be late. A prompt whose prefill takes most of its objective
+    // may still wait, since the longest prompts would hardly ever be served otherwise.
     const TimePoint minWaitEndsAt = now + std::max<Duration>(request.objectiveAt - now, Duration::zero()) / MinWaitDivisor;
     request.queueExpiresAt = std::min(std::max(request.latestStart, minWaitEndsAt), request.deadline);
     return request;
 }
 
-/// One that was not granted here was granted by another server. What this one had planned for it, a wait or another upstream, is over: left
-/// standing, it would hold a place for ever.
+/// A request that was not granted here was granted by another server. The queue entry or slot that this server had assigned to it is released, since
+/// it would be held for ever otherwise.
 void PlacementServer::handlePlaced(const VmName &from, EntryVm &entryVm, const v1::PlacedRequest &placed)
 {
     const PlacementId id{placed.id()};
@@ -281,7 +282,7 @@
     }
 }
 
-/// Gives back what the request holds: its place in the line and its part of the limit while it waits, its place at the upstream afterwards.
+/// Releases what the request holds: its queue entry and its charge on the limit while it waits, its slot at the upstream afterwards.
 void PlacementServer::release(const VmName &from, PlacementId id, const TrackedRequest &request)
 {
     if (request.stage == Stage::Waiting && !request.service.value.empty()) {
@@ -366,7 +367,7 @@
     if (placement.upstream || !isInProgress || !query.versions.toTarget) {
         return placement;
     }
-    // The target's upstreams are not there yet, or full: the others take it.
+    // The target's upstreams have not started or are full: the other versions serve it.
     query.versions.toTarget = false;
     return m_pool.choose(query, now);
 }
@@ -393,7 +394,7 @@
     *m_entryVms[key.vm].nextReply.add_grants() = std::move(grant);
 }
 
-/// Grants as many waiting requests as there is room for, most urgent first.
+/// Grants slots to as many waiting requests as possible, most urgent first.
 void PlacementServer::grantQueued(const ServiceName &name, Service &service, TimePoint now)
 {
     std::vector<RequestSize> unplaceableSizes;
@@ -420,14 +421,14 @@
         }
         const bool onTime = now + placement.predictedTime <= request.objectiveAt;
         if (!onTime && now < request.latestStart) {
-            continue; // Sent now, it would be late: a place at a faster upstream may become free in time.
+            continue; // Sent now it would be late: a slot at a faster upstream may become free in time.
         }
         service.queue.remove(key);
         grant(key, request, placement, now);
     }
 }
 
-/// An overload that has lasted for a while is likely to last as long again: who comes back sooner is refused again.
+/// An overload that has lasted for a while is likely to last as long again: a caller that retries sooner is refused again.
 Duration PlacementServer::retryAfterOverload(Service &service, TimePoint now)
 {
     if (now - service.lastRefusalAt > OverloadTimeout) {
@@ -457,9 +458,9 @@
     *entryVm.nextReply.add_refusals() = request.refusal;
 }
 
-/// A VM that is asked again after a while, or wakes from a freeze, holds a list from before: by it, upstreams that have left since got new
-/// work for seconds after everybody else knew. It reads the list first, which takes some milliseconds. While the list can't be read, the old
-/// one is better than none.
+/// A VM that becomes placement server again after a while, or resumes after a freeze, holds an outdated list: upstreams that had shut down since
+/// would get new requests for seconds. It waits for the list to be read, which takes some milliseconds. While the list can't be read, an old list is
+/// better than none.
 bool PlacementServer::isListUsable(TimePoint now) const
 {
     return now - m_localListReadAt <= MaxListAge || !m_pool.isListReadable();
--- a/src/placement/placementserver.h
+++ b/src/placement/placementserver.h
@@ -16,14 +16,14 @@
 namespace cumindyke
 {
 
-/// Decides for the entry VMs of one data centre which request goes to which upstream, and when. Pure: time is an argument.
+/// Decides for the entry VMs of one data centre which request is sent to which upstream, and when. Pure: time is an argument.
 ///
-/// Failure guarded against: entry VMs that each choose by loads some milliseconds old pick the same upstream, and a place that becomes free
-/// is taken by several at once. The symptom with 58 VMs in a burst was that engines refused a sixth of their requests for want of places, and more than a
-/// third of the answers came late. One place where the loads meet is enough, since a sending begins only by its grant.
+/// Guards against entry VMs that choose independently by loads some milliseconds old: they pick the same upstream, and several of them use a slot
+/// that became free. With 58 VMs in a burst, engines refused a sixth of their requests for lack of slots, and more than a third of the answers were
+/// late. A single server that knows the loads avoids this, since an attempt begins only with its grant.
 ///
-/// All state is soft: entry VMs tell theirs whole with each datagram, so another VM takes over by being asked, without an election. Two
-/// servers at a time cost precision, never a second sending: that is the entry VM's own record (Attempts).
+/// All state is soft: entry VMs send their whole state with each datagram, so another VM takes over as soon as it receives them, without an election.
+/// Two servers at a time cost precision but never cause a second attempt: the entry VM's own record (Attempts) rules that out.
 class PlacementServer
 {
 public:
@@ -37,48 +37,48 @@
     {
     }
 
-    /// The platform's whole list of upstreams.
+    /// Replaces the list of upstreams.
     void setList(const std::vector<UpstreamInstance> &instances, TimePoint now);
-    /// The list's part of one data centre.
+    /// Replaces the upstreams of one data centre.
     void setListPart(const DataCentreName &dataCentre, const std::vector<UpstreamInstance> &instances, TimePoint now);
-    /// Whether the list could be read the last time it was tried.
+    /// Sets whether the last read of the platform's list succeeded.
     void setListReadable(bool readable)
     {
         m_pool.setListReadable(readable);
     }
-    /// The own data centre's upstreams are not enough: the others' parts of the list are to be read.
+    /// Whether the local upstreams do not suffice and the other data centres' parts of the list should be read.
     bool wantsRemote(TimePoint now) const;
-    /// Rollouts in force, by service.
+    /// Sets the rollouts in force, by service.
     void setRollouts(const std::map<std::string, v1::Rollout> &rollouts)
     {
         m_rollouts = rollouts;
     }
-    /// The organisations' limits.
+    /// Sets the organisations' limits.
     void setRoutes(const v1::RouteTable &routes, TimePoint now)
     {
         m_limits.setRoutes(routes, now);
     }
-    /// How many entry VMs there are.
+    /// Sets the number of entry VMs.
     void setFleet(const v1::FleetTally &fleet)
     {
         m_entryVmCount = std::max<std::uint32_t>(1, fleet.entry_vm_count());
     }
-    /// What another data centre's server has given out.
+    /// Applies the load notice of another placement server.
     void handleNotice(const VmName &from, const v1::LoadNotice &notice, TimePoint now);
-    /// All that an entry VM has waiting and under way. Older than what came before: ignored.
+    /// Applies the state of an entry VM: all its waiting and placed requests. States that arrive out of order are ignored.
     void handleState(const VmName &from, const v1::EntryState &state, TimePoint now);
-    /// Gives out what there is room for, refuses what has waited too long, and returns the replies that are due.
+    /// Grants the free slots, refuses requests that expired in the queue, and returns the replies that are due.
     std::vector<Reply> advance(TimePoint now);
-    /// Entry VMs that have fallen silent have nothing under way any more, or nobody knows what.
+    /// Releases the requests of entry VMs, and the loads of peers, that timed out.
     void expireTimedOut(TimePoint now);
 
-    /// Other servers that place requests at present.
+    /// Other servers that currently place requests.
     std::vector<VmName> activePeers(TimePoint now) const;
-    /// Some entry VM has something here.
+    /// Whether any entry VM has requests here.
     bool hasRequests() const;
-    /// How many wait for room.
+    /// Number of requests that wait for a free slot.
     std::size_t waitingCount() const;
-    /// What was given out here; for a VM that may have to take over, with what was learned.
+    /// Writes the load of what was granted here; for a VM that may have to take over also the measured paces and the bucket levels.
     void writeNotice(v1::LoadNotice &notice, bool forBackup, TimePoint now);
 
 private:
@@ -91,8 +91,8 @@
     };
     enum class Stage {
         Waiting,
-        Granted, ///< the entry VM has not yet said that it knows
-        Refused, ///< the same
+        Granted, ///< the grant is not acknowledged by the entry VM yet
+        Refused, ///< the refusal is not acknowledged by the entry VM yet
         Sent,
     };
     struct TrackedRequest
@@ -108,15 +108,15 @@
         TimePoint deadline;
         std::set<InstanceName> tried;
         TimePoint objectiveAt;
-        /// Until when a start is early enough for an answer on time.
+        /// The last time at which a start gives an answer on time.
         TimePoint latestStart;
-        /// When its waiting ends.
+        /// When its waiting time ends.
         TimePoint queueExpiresAt;
         InstanceName upstream;
-        /// Up to this prompt's end, when it was granted.
+        /// Tokens that the upstream had to process up to the end of this prompt when the slot was granted.
         std::uint64_t tokensToRead = 0;
         bool prefillDone = false;
-        /// The answer to the ask, and when it was sent last.
+        /// The decision, and when it was last sent.
         v1::PlacementGrant grant;
         v1::PlacementRefusal refusal;
         TimePoint decisionSentAt;
@@ -128,7 +128,7 @@
         TimePoint lastReceivedAt;
         TimePoint lastReplyAt;
         std::map<PlacementId, TrackedRequest> requests;
-        /// What goes with the next reply.
+        /// The reply that is being built.
         v1::PlacementReply nextReply;
     };
     /// Another placement server.
@@ -140,7 +140,7 @@
     struct Service
     {
         RequestQueue<RequestKey> queue;
-        /// The first and the last refusal for want of room in the present overload.
+        /// The first and the last refusal for lack of a free slot in the current overload.
         TimePoint overloadSince{};
         TimePoint lastRefusalAt{};
     };
--- a/src/placement/placementtypes.h
+++ b/src/placement/placementtypes.h
@@ -4,14 +4,14 @@
 
 #include <cstdint>
 
-/// Which request goes to which upstream, and when: decisions only, no sockets and no clocks.
+/// Placement: the decision which request is sent to which upstream, and when. Contains no sockets and no clocks.
 namespace cumindyke
 {
 
-/// One try of a request, from the moment it waits for room until its sending ended. Unique in a process.
+/// Identifies one attempt of a request, from entering the queue until the attempt ends. Unique within a process.
 using PlacementId = Strong<struct PlacementIdTag, std::uint64_t>;
 
-/// One process of an upstream. The platform names each start of it anew, or uses the name again: see "born".
+/// Name of an upstream process. The platform may give a restarted process a new name or reuse the old one: see "startedAtMs".
 using InstanceName = Strong<struct InstanceNameTag, std::string>;
 
 /// An entry of the platform's list of upstreams.
@@ -22,17 +22,18 @@
     Address address;
     DataCentreName dataCentre;
     VersionName version;
-    /// Requests it runs at once.
+    /// Number of requests that the upstream runs concurrently.
     std::uint32_t slots = 1;
-    /// It leaves: it gets no new work.
+    /// The upstream is shutting down and gets no new requests.
     bool draining = false;
-    /// Milliseconds since 1970 of its start; 0: not told. With the name it tells one process from the next at the same name.
+    /// Start time of the process in milliseconds since 1970; 0: unknown. Together with the name it distinguishes a process from a successor of
+    /// the same name.
     std::int64_t startedAtMs = 0;
 
     bool operator==(const UpstreamInstance &) const = default;
 };
 
-/// The list of upstreams is read every second; an attempt that fails takes less than another.
+/// The list of upstreams is read every second; a failed read takes less than another second.
 constexpr Duration MaxListAge = std::chrono::milliseconds(2000);
 
 }
--- a/src/placement/requestqueue.h
+++ b/src/placement/requestqueue.h
@@ -10,16 +10,17 @@
 namespace cumindyke
 {
 
-/// 0 is the highest; made of the organisation's priority, then the route's.
+/// Rank of a request; 0 is the most urgent. Derived from the organisation's priority, then the route's.
 using PriorityRank = Strong<struct PriorityRankTag, std::uint32_t>;
 
-/// Requests of one service that wait for room at its upstreams, most urgent first and within a rank the one that must go soonest. Engines know
-/// no priorities and admit in order of arrival, so a request that waits there can't be overtaken by a more urgent one: waiting is done here.
+/// Requests of one service that wait for a free slot, ordered by rank and within a rank by the latest start that still gives an answer on time.
+/// Engines know no priorities and admit in order of arrival, so a request queued at an engine can't be overtaken by a more urgent one. Requests
+/// therefore queue here.
 template<typename Key>
 class RequestQueue
 {
 public:
-    /// Until when a start is early enough for an answer on time, and when waiting ends.
+    /// Adds a request. "latestStart" is the last time at which a start gives an answer on time, "expiresAt" the end of its waiting time.
     void enqueue(const Key &request, PriorityRank rank, TimePoint latestStart, TimePoint expiresAt)
     {
         const Position position{rank, latestStart, m_nextArrival++};
@@ -43,8 +44,8 @@
     {
         return m_entries.size();
     }
-    /// All, most urgent first. Within a rank those that can still be on time come before those that can't: served in order of arrival
-    /// alone, a line that is once too long makes everybody late.
+    /// Returns all requests, most urgent first. Within a rank, requests that can still be on time precede those that can't: served in order of
+    /// arrival alone, every request would be late once the queue is too long.
     std::vector<Key> inOrder(TimePoint now) const
     {
         std::vector<Key> ordered;
@@ -64,8 +65,8 @@
         appendLate();
         return ordered;
     }
-    /// Takes out those that have waited as long as they may, and with each of them all that wait at a lower rank: they would be served
-    /// after it, and a higher rank is never refused while a lower one goes on waiting. Least urgent first.
+    /// Removes the expired requests, and for each of them all requests of lower ranks: these would be served after it, and a higher rank is never
+    /// refused while a lower one keeps waiting. Returns the removed requests, least urgent first.
     std::vector<Key> removeExpired(TimePoint now)
     {
         std::vector<Key> expired;
--- a/src/placement/upstreampool.cpp
+++ b/src/placement/upstreampool.cpp
@@ -12,30 +12,30 @@
 namespace
 {
 
-/// How much longer an answer may take before a request leaves its data centre: traffic between data centres has a price.
+/// A request leaves its data centre only if the local answer would take longer by this factor: traffic between data centres has a price.
 constexpr double RemotePenalty = 1.4;
-/// How much longer a first event takes on an engine whose places are all taken: its batch takes turns with the reading of prompts.
+/// Slowdown of a first event on an engine whose slots are all in use: its batch alternates with the prefill of prompts.
 constexpr double LoadWeight = 0.5;
-/// Of the longest allowed pause; the rest is for streams that pause longer than most.
+/// Share of the longest allowed pause that may be used; the rest is for streams that pause longer than most.
 constexpr double MaxPauseRatio = 0.7;
-/// Requests that an upstream of unknown speed gets at a time.
+/// Maximum concurrent requests at an upstream of unknown pace.
 constexpr std::uint32_t MaxRequestsOnUnmeasured = 3;
-/// A server that has anything under way sends a notice every 30 ms. What one that is gone had given out is told by its successor.
+/// A server with any requests sends a notice every 30 ms. The load of a server that timed out is reported by its successor.
 constexpr Duration NoticeTimeout = std::chrono::milliseconds(400);
-/// Of an upstream with requests, each load is told again after so many notices at the latest, and to backups after so many of theirs: for those that
-/// missed a notice, or are new. A notice of everything would not fit in a datagram.
+/// The load of each upstream with requests is repeated at least once in this many notices, or backup notices, for receivers that missed a notice or
+/// are new. A notice of all loads would not fit in a datagram.
 constexpr std::uint64_t NoticeSlices = 16;
 constexpr std::uint64_t BackupNoticeSlices = 4;
-/// More than a backup waits for a load to be told again.
+/// Exceeds the number of notices after which a load is repeated to a backup.
 constexpr std::uint64_t MaxNoticesWithoutLoad = 100;
 /// Weight of the newest observation: about the last ten count.
 constexpr double PaceWeight = 0.1;
 constexpr Duration MinEjectionTime = std::chrono::milliseconds(200);
 constexpr Duration MaxEjectionTime = std::chrono::seconds(4);
-/// A single failure may be chance; from this many in a row on an upstream rests.
+/// A single failure may be chance; this many in a row eject an upstream.
 constexpr int FailuresBeforeEjection = 2;
 constexpr Duration RefusalEjectionTime = std::chrono::milliseconds(100);
-/// The platform's list shows the new owner of an address within this long.
+/// The platform's list shows the new owner of an address within this time.
 constexpr Duration MisdirectionEjectionTime = std::chrono::seconds(3);
 
 }
@@ -68,7 +68,7 @@
         const bool isSameProcess
             = known != m_upstreams.end() && known->second.instance.startedAtMs == instance.startedAtMs && known->second.instance.address == instance.address;
         Upstream upstream = isSameProcess ? known->second : Upstream{};
-        // Requests in flight end by name, whichever process they were sent to.
+        // Requests in flight are released by name, whichever process they were sent to.
         upstream.ownLoad = known == m_upstreams.end() ? Load{} : known->second.ownLoad;
         upstream.instance = instance;
         upstream.isRemote = instance.dataCentre != m_localDataCentre;
@@ -115,7 +115,7 @@
     }
 }
 
-/// What the peer has not told for so long ended, and the notice that said so was lost.
+/// Drops loads that the peer has not reported for a long time: they ended, and the notice that reported it was lost.
 void UpstreamPool::expireUnreported(Peer &peer)
 {
     std::erase_if(peer.loads, [&](const auto &pair) {
@@ -148,7 +148,8 @@
         addLoad(name, received.load, 1);
         Upstream *upstream = find(name);
         if (upstream && upstream->paceMs == 0) {
-            // Learned there: a server that has just taken over need not try the slow ones to find out.
+            // Adopts the pace measured by the peer, so that a server that has just taken over need not send requests to slow upstreams to
+            // measure them.
             upstream->paceMs = load.pace_ms();
         }
     }
@@ -191,10 +192,10 @@
     return fastestPaceMs == std::numeric_limits<double>::max() ? 1 : fastestPaceMs;
 }
 
-/// An engine reads the prompts before this one first. A plain upstream slows down as it fills.
+/// An engine processes the prompts that arrived before this one first. A plain upstream slows down as it fills.
 double UpstreamPool::predictedMs(const Upstream &upstream, std::uint32_t promptTokens, double fastestPaceMs) const
 {
-    // One that nothing is known of counts as the fastest, so that it is tried.
+    // An upstream without a measured pace counts as the fastest, so that it gets requests.
     const double paceMs = upstream.paceMs > 0 ? upstream.paceMs : fastestPaceMs;
     const double load = static_cast<double>(upstream.ownLoad.requests + upstream.peerLoad.requests) / upstream.instance.slots;
     const auto model = m_firstEventModels.find(upstream.instance.service);
@@ -206,8 +207,8 @@
     return firstEventMs > 0 ? firstEventMs * (1 + LoadWeight * load) : paceMs * (1 + load);
 }
 
-/// One that nothing is known of counts as the fastest, so that it is tried. Filled before it has shown anything, it may be the slowest: its answers would
-/// come too late, and it would hold what others could have taken.
+/// An upstream without a measured pace counts as the fastest, so that it gets requests. If it were filled before it was measured and were the
+/// slowest, its answers would be late, and it would hold requests that others could have served.
 bool UpstreamPool::hasFreeSlot(const Upstream &upstream) const
 {
     const std::uint32_t requests = upstream.ownLoad.requests + upstream.peerLoad.requests;
@@ -215,8 +216,8 @@
     return requests < (isUnmeasured ? std::min(MaxRequestsOnUnmeasured, upstream.instance.slots) : upstream.instance.slots);
 }
 
-/// Whether the whole answer is likely to be there before its deadline. A long answer on a slow engine isn't: its caller gets nothing, after it has held a
-/// place for all that time.
+/// Returns whether the whole answer is likely to arrive before its deadline. A long answer on a slow engine is not: its caller would get nothing, and
+/// it would occupy a slot for all that time.
 bool UpstreamPool::wouldFinishInTime(const Upstream &upstream, const PlacementQuery &query, double firstEventMs, double fastestPaceMs) const
 {
     if (query.timeToDeadline <= Duration::zero() || query.expectedEvents == 0) {
@@ -227,7 +228,7 @@
     return firstEventMs + paceMs * query.expectedEvents <= remainingMs;
 }
 
-/// Whether waiting for another upstream may help: with nothing else to do, some would end the answer in time.
+/// Returns whether any upstream would finish the answer in time when idle, so that waiting for another upstream may help.
 bool UpstreamPool::anyWouldFinishInTime(const PlacementQuery &query, double fastestPaceMs, TimePoint now) const
 {
     return std::ranges::any_of(upstreamsOf(query.service), [&](const Upstream *upstream) {
@@ -235,8 +236,8 @@
     });
 }
 
-/// An engine reads new prompts between the steps of the streams that it runs, so these pause: by the time of the reading, or by what its
-/// parts take between two events, whichever is less. On engines several times slower than the others the pause makes all of them late.
+/// An engine processes new prompts between the steps of its running streams, which pause for the duration of the prefill or of its chunks between two
+/// events, whichever is shorter. On engines several times slower than the others this pause makes all their streams late.
 bool UpstreamPool::wouldExceedMaxPause(const Upstream &upstream, const PlacementQuery &query, double fastestPaceMs) const
 {
     const auto model = m_firstEventModels.find(upstream.instance.service);
@@ -254,7 +255,7 @@
 Placement UpstreamPool::choose(const PlacementQuery &query, TimePoint now) const
 {
     const double fastestPaceMs = fastestPace(query.service);
-    // An answer that no upstream would end in time is tried all the same: the estimate may be wrong.
+    // An answer that no upstream would finish in time is placed anyway, since the estimate may be wrong.
     const bool mustFinishInTime = anyWouldFinishInTime(query, fastestPaceMs, now);
     const Upstream *best = nullptr;
     double bestMs = 0;
--- a/src/placement/upstreampool.h
+++ b/src/placement/upstreampool.h
@@ -13,12 +13,12 @@
 namespace cumindyke
 {
 
-/// Which part of a service's requests goes to which version.
+/// Selects the version of the next request's upstream during a rollout.
 struct VersionSplit
 {
-    /// The version a rollout moves to; empty: every version is as good as another.
+    /// The version that the rollout moves to; empty: all versions are equal.
     VersionName target;
-    /// The next request is for the target. Otherwise it is for any other version.
+    /// Whether the next request is for the target, or for any other version.
     bool toTarget = false;
 };
 
@@ -26,29 +26,30 @@
 {
     ServiceName service;
     VersionSplit versions;
-    /// Prompt tokens to read; 0: a plain request.
+    /// Prompt tokens; 0: a plain request.
     std::uint32_t promptTokens = 0;
-    /// Tried before for this request.
+    /// Upstreams of earlier attempts of this request.
     std::set<InstanceName> tried;
-    /// The longest pause between events with which an answer is still on time; 0: none is set.
+    /// Longest pause between events, in milliseconds, with which the answer is on time; 0: no limit.
     double maxPauseMs = 0;
-    /// Events that the answer is likely to have; 0: not known.
+    /// Expected number of events in the answer; 0: unknown.
     std::uint32_t expectedEvents = 0;
-    /// How long until no answer is of use any more; zero: for ever.
+    /// Time until the deadline; zero: no deadline.
     Duration timeToDeadline{};
 };
 
-/// Where a request would go, and how long its answer (a stream's first event) would take there.
+/// The chosen upstream, and the predicted time until its answer (a stream's first event).
 struct Placement
 {
     const UpstreamInstance *upstream = nullptr;
     Duration predictedTime{};
-    /// One of another data centre was chosen, or might have been sooner or free where none here was.
+    /// A remote upstream was chosen, or might answer sooner or have a free slot when no local one has.
     bool remoteMayHelp = false;
 };
 
-/// What is known of each upstream: the platform's list, the requests that were given out here, those of other data centres from their
-/// servers' notices, how fast it answers, and whether it has just failed. Chooses where the next request goes. Pure: time is an argument.
+/// The known upstreams with their loads, paces and recent failures. Chooses the upstream of the next request. Pure: time is an argument.
+///
+/// Loads are the requests granted here, and those granted by other data centres' servers according to their load notices.
 class UpstreamPool
 {
 public:
@@ -57,12 +58,12 @@
     {
     }
 
-    /// The platform's whole list. An entry whose name was used by an earlier process starts with nothing learned.
+    /// Replaces the list of upstreams. An entry whose name was used by an earlier process starts without statistics.
     void setList(const std::vector<UpstreamInstance> &instances, TimePoint now = {});
-    /// The list's part of one data centre. From then on, farther upstreams are used only while their parts are fresh: an old part has upstreams
-    /// that have left since.
+    /// Replaces the upstreams of one data centre. From then on, remote upstreams are used only while their part of the list is fresh: an outdated
+    /// part contains upstreams that have shut down since.
     void setListPart(const DataCentreName &dataCentre, const std::vector<UpstreamInstance> &instances, TimePoint now);
-    /// While the list can't be read, an old one is better than none.
+    /// Sets whether the list can be read. While it can't, an outdated list is better than none.
     void setListReadable(bool readable)
     {
         m_listReadable = readable;
@@ -71,78 +72,78 @@
     {
         return m_listReadable;
     }
-    /// What another placement server has given out. Older than what came before: ignored.
+    /// Applies another placement server's load notice. Notices that arrive out of order are ignored.
     void handleNotice(const VmName &vm, const v1::LoadNotice &notice, TimePoint now);
-    /// Servers that have fallen silent have nothing in flight any more, or nobody knows what.
+    /// Drops the loads of servers that timed out, since their requests have ended or nobody counts them.
     void expireTimedOut(TimePoint now);
 
-    /// The upstream that will answer soonest; none when all of them are full or out of use.
+    /// Returns the upstream that is predicted to answer first; none if all are full or not usable.
     Placement choose(const PlacementQuery &query, TimePoint now) const;
-    /// Some upstream of the service could take a request now.
+    /// Whether any usable upstream of the service has a free slot.
     bool hasFreeSlot(const ServiceName &service, TimePoint now) const;
-    /// How long the fastest upstream would take with nothing else to do; zero while nothing was learned.
+    /// Time to the first event on the fastest upstream when it is idle; zero while nothing is recorded.
     Duration idleFirstEventTime(const ServiceName &service, std::uint32_t promptTokens) const;
 
     void acquireSlot(const InstanceName &name, std::uint32_t promptTokens);
-    /// The prompt has been read: the first event came, or the sending ended before it.
+    /// Records that the prompt has been processed: the first event arrived, or the attempt ended before it.
     void recordPrefillDone(const InstanceName &name, std::uint32_t promptTokens);
     void releaseSlot(const InstanceName &name);
-    /// Milliseconds between events of a stream, or to a plain answer's end: how fast the upstream works.
+    /// Records the pace of an upstream: milliseconds between the events of a stream, or until the end of a plain answer.
     void recordPace(const InstanceName &name, double milliseconds);
-    /// The pace of a stream's first events: counts while nothing else is known.
+    /// Records the pace of a stream's first events, which is used while no other pace is known.
     void recordEarlyPace(const InstanceName &name, double milliseconds);
     bool knowsPace(const InstanceName &name) const;
-    /// The mean and the longest pause between the events of a stream.
+    /// Records the mean and the longest pause between the events of a stream.
     void recordPauses(const InstanceName &name, double meanMs, double longestPauseMs);
-    /// A first event, and the tokens that were to be read for it when the request was sent.
+    /// Records the time to a first event, and the tokens that had to be processed before it when the request was sent.
     void recordFirstEvent(const InstanceName &name, double tokens, double milliseconds);
-    /// Tokens that an upstream has to read before a new prompt.
+    /// Prompt tokens that the upstream has to process before a new prompt.
     std::uint64_t pendingPromptTokens(const InstanceName &name) const;
     void recordSuccess(const InstanceName &name);
-    /// It failed a request or could not be reached: it rests, longer with each failure in a row.
+    /// Records a failed request or connection. The upstream is ejected after several failures in a row, longer with each further one.
     void recordFailure(const InstanceName &name, TimePoint now);
-    /// It is full or leaving and said so: it rests a moment, without counting as a failure.
+    /// Records that the upstream was full or draining and refused a request: it is ejected briefly, without counting a failure.
     void recordRefusal(const InstanceName &name, TimePoint now);
-    /// Another process has its address.
+    /// Records that another process has the upstream's address.
     void recordMisdirection(const InstanceName &name, TimePoint now);
 
-    /// Requests that it has, as far as is known here.
+    /// Known number of requests at the upstream.
     std::uint32_t inFlight(const InstanceName &name) const;
-    /// What was given out here, as far as it changed since the last notice, and a part of the rest by turns; for a VM that may have to take over,
-    /// which hears few notices, what changed since the last of those, with what was learned of the upstreams' paces. Needs the notice's sequence.
+    /// Writes the loads granted here that changed since the last notice, and a rotating slice of the others. For a backup, which receives few
+    /// notices, writes what changed since the last backup notice, and the measured paces. The notice's sequence number must be set.
     void writeNotice(v1::LoadNotice &notice, bool forBackup);
 
 private:
     struct Load
     {
         std::uint32_t requests = 0;
-        /// Of prompts whose first event has not come.
+        /// Tokens of prompts whose first event has not arrived.
         std::uint64_t tokens = 0;
 
         bool operator==(const Load &) const = default;
     };
-    /// What the receivers of notices were told last of an upstream.
+    /// The load of an upstream that was last reported in a notice.
     struct ReportedLoad
     {
         Load load;
-        /// That nothing is left was told once, and is told again at its turn.
+        /// A load of zero was reported once, and is repeated at the upstream's next turn.
         bool repeatZero = false;
 
-        /// Whether the next notice must tell the load; it counts as told then.
+        /// Returns whether the next notice must report the load; if so, the load counts as reported.
         bool markReportedIfDue(const Load &now, bool isTurn);
     };
     struct Upstream
     {
         UpstreamInstance instance;
         bool isRemote = false;
-        /// When it was seen on the list last.
+        /// When the upstream was last listed.
         TimePoint lastListedAt{};
         Load ownLoad;
-        /// Of the other servers, as of their last notices.
+        /// Sum of the loads granted by other servers, according to their last notices.
         Load peerLoad;
         ReportedLoad reported;
         ReportedLoad reportedToBackups;
-        /// Whose turn it is to be told again, by the name's hash.
+        /// Hash of the name; selects the notices that repeat the load.
         std::uint64_t sliceHash = 0;
         double paceMs = 0;
         int consecutiveFailures = 0;
@@ -152,7 +153,7 @@
     struct ReceivedLoad
     {
         Load load;
-        /// The last notice that told it.
+        /// Sequence number of the last notice that contained the load.
         std::uint64_t sequence = 0;
     };
     struct Peer
@@ -181,7 +182,7 @@
 
     const DataCentreName m_localDataCentre;
     std::map<InstanceName, Upstream> m_upstreams;
-    /// Each service's part of them.
+    /// The upstreams of each service.
     std::map<ServiceName, std::vector<const Upstream *>> m_upstreamsByService;
     std::map<ServiceName, FirstEventModel> m_firstEventModels;
     std::map<ServiceName, PauseRatioEstimator> m_pauseRatios;
--- a/tests/placement/fleetlimitstest.cpp
+++ b/tests/placement/fleetlimitstest.cpp
@@ -59,9 +59,9 @@
 
 }
 
-// What the operator sees: one organisation that sends several times its usual gets more than its limit on every burst. What another server
-// admitted is told again and again, late and in any order; it is charged once, and never left out.
-TEST_CASE("what another server admitted is charged once")
+// Guards against an organisation that gets more than its limit on every burst. Another server's admissions arrive repeatedly, late and out of order;
+// each must be charged exactly once.
+TEST_CASE("admissions of another server are charged once")
 {
     FleetLimits limits = limitsOf(1000, 1);
     limits.handleNotice(OtherServer, noticeOf(3, 1, 5000), false, Start);
@@ -73,9 +73,9 @@
     CHECK(admittedOf(limits, 100, 20, after(500)) == 500);
 }
 
-// What callers see: for seconds after a change of servers nearly all requests of an organisation below its limit are refused (429). The
-// counts of a server that is heard of for the first time go back to the start of its process.
-TEST_CASE("what a server admitted before it was first heard of is not charged")
+// Guards against refusals (429) of nearly all requests of an organisation below its limit, for seconds after a change of servers: the counts in a
+// server's first notice go back to the start of its process.
+TEST_CASE("admissions before a server's first notice are not charged")
 {
     FleetLimits limits = limitsOf(1000, 1, 100);
     limits.handleNotice(OtherServer, noticeOf(3, 1, 400'000), false, Start);
@@ -85,9 +85,9 @@
     CHECK(admittedOf(limits, 100, 20, after(1000)) == 700);
 }
 
-// What operators see: an organisation gets several times its limit, because its VMs are restarted one after the other. A restarted process
-// counts from zero, so its counts are below those of the process before it; taken as growth they would be lost or wrap around.
-TEST_CASE("a restarted server's counts begin at zero and are charged whole")
+// Guards against an organisation that gets several times its limit while VMs are restarted one after the other. A restarted process counts from zero,
+// below the counts of its predecessor; as a difference these admissions would be lost or wrap around.
+TEST_CASE("the counts of a restarted server begin at zero and are charged in full")
 {
     FleetLimits limits = limitsOf(1000, 1);
     limits.handleNotice(OtherServer, noticeOf(3, 1, 5000), false, Start);
@@ -95,9 +95,9 @@
     CHECK(admittedOf(limits, 100, 20, Start) == 300);
 }
 
-// What callers see: requests of an organisation below its limit are refused (429), because one VM of many got most of them and only a small
-// part of the limit is its own; or because it got two large ones within one beat of the leader.
-TEST_CASE("an organisation below its limit is not refused however unevenly its requests come")
+// Guards against refusals (429) of an organisation below its limit, because one VM of many got most of its requests and owns only a small share of
+// the limit, or because one VM got two large requests within one heartbeat of the leader.
+TEST_CASE("an organisation below its limit is not refused however uneven its requests are")
 {
     FleetLimits limits = limitsOf(7000, 1);
     std::uint64_t admitted = 0;
@@ -107,9 +107,9 @@
     CHECK(admitted == 20 * 2 * 3400);
 }
 
-// Pattern: a jump of one organisation's demand in all data centres at once, while they are cut off from each other. Each server would take
-// the whole limit for its own: several times the limit would pass.
-TEST_CASE("servers that don't hear of each other admit no more than the limit together")
+// Guards against several times the limit being admitted when one organisation's demand jumps in all data centres at once while they are partitioned
+// from each other and each server uses the whole limit.
+TEST_CASE("servers that are partitioned from each other admit no more than the limit together")
 {
     std::uint64_t admitted = 0;
     for (int server = 0; server < 4; ++server) {
@@ -122,8 +122,8 @@
     CHECK(admitted >= 8 * 8000);
 }
 
-// The same as a cut begins: what is left of the limit is divided, not doubled.
-TEST_CASE("a server that loses the others keeps only its part of what is left")
+// When a partition begins, the remaining level is divided, not doubled.
+TEST_CASE("a server that loses contact with the others keeps only its share of the level")
 {
     FleetLimits limits = limitsOf(1000, 1);
     limits.tryAdmit(Ensemble, 0, Routine, Start);
@@ -133,7 +133,7 @@
     CHECK(admittedOf(limits, 50, 100, after(2000)) == 250);
 }
 
-TEST_CASE("a server that takes over goes on from the levels it was told")
+TEST_CASE("a server that takes over continues from the levels in its predecessor's notice")
 {
     FleetLimits before = limitsOf(1000, 1);
     CHECK(admittedOf(before, 100, 20, Start) == 500);
@@ -146,7 +146,7 @@
     CHECK(admittedOf(next, 100, 20, after(100)) == 100);
 }
 
-TEST_CASE("a lowered limit binds at once, and one that is taken away no more")
+TEST_CASE("a lowered limit applies at once, and a removed limit no longer applies")
 {
     FleetLimits limits = limitsOf(10'000, 1);
     limits.tryAdmit(Ensemble, 0, Routine, after(1000));
@@ -156,9 +156,9 @@
     CHECK(admittedOf(limits, 100, 100, after(1000)) == 10'000);
 }
 
-// What the operator sees: an organisation that sends several times its limit gets more than it for as long as it goes on. What the servers gave
-// out before they heard of each other was forgiven beyond a quarter of a second's rate, again and again.
-TEST_CASE("what was given out too much is paid back, up to a second's rate")
+// Guards against an organisation that gets more than its limit for as long as it sends several times that limit: what servers admitted before they
+// received each other's notices was forgiven beyond a quarter of a second's rate, again and again.
+TEST_CASE("excess admissions are paid back, up to a second's rate")
 {
     FleetLimits limits = limitsOf(1000, 1);
     limits.handleNotice(OtherServer, noticeOf(3, 1, 0), false, Start);
@@ -168,9 +168,9 @@
     CHECK(admittedOf(limits, 100, 20, after(1000)) == 200);
 }
 
-// Pattern: an organisation asks for about twice its limit, urgent and routine requests mixed. What callers see: long drafts for the committee are refused (429)
-// as often as labels that nobody waits for, since the tokens go to whoever asks in the moment in which some are there.
-TEST_CASE("an organisation over its limit spends it on its urgent requests first")
+// Guards against urgent requests being refused (429) as often as routine ones when an organisation sends about twice its limit in a mix of both:
+// tokens go to whichever request arrives at the moment they become available.
+TEST_CASE("an organisation over its limit spends it on urgent requests first")
 {
     FleetLimits limits = limitsOf(10'000, 1);
     std::uint64_t urgent = 0;
@@ -179,14 +179,14 @@
         urgent += admittedOf(limits, 400, 2, after(ms), Urgent);
         routine += admittedOf(limits, 300, 4, after(ms), Routine);
     }
-    // Of 160,000 and 240,000 that are asked for.
+    // Of a demand of 160,000 and 240,000.
     CHECK(urgent > 150'000);
     CHECK(routine > 0);
     CHECK(urgent + routine <= 20 * 10'000 + 10'000 / 2 + 400);
 }
 
-// What callers see: a status call is refused beside drafts a hundred times its size, although it costs them nothing.
-TEST_CASE("a request that is small beside the limit leaves no reserve")
+// Guards against refusals of a small request for the sake of requests a hundred times its size, although it costs them almost nothing.
+TEST_CASE("a request that is small compared with the limit leaves no reserve")
 {
     FleetLimits limits = limitsOf(100'000, 1);
     admittedOf(limits, 50'000, 6, Start, Urgent);
@@ -194,7 +194,7 @@
     CHECK(admittedOf(limits, 200, 1, after(100), Routine) == 200);
 }
 
-TEST_CASE("an organisation below its limit keeps no reserve")
+TEST_CASE("an organisation below its limit leaves no reserve")
 {
     FleetLimits limits = limitsOf(10'000, 1);
     std::uint64_t routine = 0;
@@ -205,16 +205,16 @@
     CHECK(routine == 100 * 500);
 }
 
-// What callers see after a common restart: most requests are refused (429) for a second or two. The server that begins hears of its entry VMs one after the
-// other, and its first level is for the first of them alone.
-TEST_CASE("a level grows with the entry VMs that a server hears of")
+// Guards against refusals (429) of most requests for a second or two after all VMs restarted: a starting server learns of its entry VMs one after the
+// other, and its first level covers only the first of them.
+TEST_CASE("a level grows with the number of known entry VMs")
 {
     FleetLimits limits = limitsOf(7000, 1.0 / 7, 700);
     CHECK(admittedOf(limits, 100, 1, Start) == 100);
     limits.setCoverage(1, after(10));
-    // Half of the burst and the tolerance, less what passed by the first level's measure.
+    // Half of the burst and the tolerance, less what passed at the first level.
     CHECK(admittedOf(limits, 100, 60, after(10)) >= 3500);
-    SECTION("and servers that part again take no more than their parts with them")
+    SECTION("and servers that are partitioned again keep no more than their shares")
     {
         FleetLimits parted = limitsOf(7000, 1, 700);
         admittedOf(parted, 100, 10, Start);
@@ -223,8 +223,8 @@
     }
 }
 
-// Guards against an organisation that is charged again for all it ever had, since a notice of loads alone left out what was admitted.
-TEST_CASE("what was admitted is told when it changed and by turns, and a notice without it changes nothing")
+// Guards against an organisation that is charged again for all its previous admissions, because a notice that contains only loads lists none.
+TEST_CASE("admissions are sent when they change and periodically, and a notice without them changes nothing")
 {
     FleetLimits sender = limitsOf(1000, 1);
     FleetLimits receiver = limitsOf(1000, 1);
@@ -257,8 +257,8 @@
     CHECK(admittedOf(receiver, 100, 20, Start) == 300);
 }
 
-// Guards against organisations below their limits that are refused after a common restart, while a server hears of its VMs one by one.
-TEST_CASE("a server that hears of its VMs one by one has spent no more than it admitted")
+// Guards against refusals of organisations below their limits after all VMs restarted, while a server learns of its entry VMs one by one.
+TEST_CASE("a server that learns of its VMs one by one has charged no more than it admitted")
 {
     constexpr int Vms = 90;
     FleetLimits limits = limitsOf(10'000, 1.0 / Vms);
@@ -266,12 +266,12 @@
     for (int covered = 2; covered <= Vms; ++covered) {
         limits.setCoverage(static_cast<double>(covered) / Vms, Start);
     }
-    // Half of the burst is there at the start.
+    // Half of the burst is available at the start.
     CHECK(admittedOf(limits, 1'000, 20, Start) == 4'000);
 }
 
-// Guards against limits that grow with each VM that goes and comes back.
-TEST_CASE("a server whose part of the fleet shrinks and grows again gains nothing by it")
+// Guards against limits that grow each time a VM leaves and returns.
+TEST_CASE("a server whose coverage shrinks and grows again gains no tokens")
 {
     FleetLimits limits = limitsOf(10'000, 1);
     CHECK(admittedOf(limits, 1'000, 1, Start) == 1'000);
--- a/tests/placement/listscheduletest.cpp
+++ b/tests/placement/listscheduletest.cpp
@@ -30,7 +30,7 @@
     return schedule;
 }
 
-/// The data centres whose parts are read in one round; the survey is left out.
+/// The data centres whose parts are read in one round, up to the first read that is not a part.
 std::set<std::string> dueParts(ListSchedule &schedule, bool remoteWanted, TimePoint now)
 {
     std::set<std::string> read;
@@ -46,7 +46,7 @@
 
 }
 
-TEST_CASE("a short list is read whole, once an interval")
+TEST_CASE("a short list is read whole, once per interval")
 {
     ListSchedule schedule(LocalDataCentre, Interval);
     REQUIRE(schedule.nextRead(false, Start));
@@ -57,8 +57,8 @@
     CHECK(schedule.nextRead(false, after(1000))->scope == Scope::Whole);
 }
 
-// Guards against placement servers that spend their processors and links on a list of thousands of upstreams, most of them of other data centres.
-TEST_CASE("of a long list the own data centre's part is read, and the others' while they are wanted")
+// Guards against placement servers that spend their CPU and bandwidth on a list of thousands of upstreams, most of them in other data centres.
+TEST_CASE("of a long list the local data centre's part is read, and the remote parts while they are wanted")
 {
     ListSchedule schedule = longList();
     CHECK(dueParts(schedule, false, Start) == std::set<std::string>{"dc-a"});
@@ -68,8 +68,8 @@
     CHECK(dueParts(schedule, false, after(2010)) == std::set<std::string>{"dc-a"});
 }
 
-// Guards against upstreams that are never used, since their data centre has no entry VMs and nobody knows of it.
-TEST_CASE("a survey reads the whole list page by page, and begins anew after a while")
+// Guards against upstreams that are never used because their data centre has no entry VMs and is therefore unknown.
+TEST_CASE("discovery reads the whole list page by page, and restarts after its interval")
 {
     ListSchedule schedule = longList();
     dueParts(schedule, false, Start);
@@ -87,7 +87,7 @@
     CHECK(schedule.nextRead(false, after(61'000))->scope == Scope::Discovery);
 }
 
-TEST_CASE("after a pause everything is due, and a reading that failed is due after an interval")
+TEST_CASE("after a reset everything is due, and a failed read is due after an interval")
 {
     ListSchedule schedule = longList();
     dueParts(schedule, true, Start);
--- a/tests/placement/pauseratioestimatortest.cpp
+++ b/tests/placement/pauseratioestimatortest.cpp
@@ -4,19 +4,19 @@
 
 using namespace cumindyke;
 
-TEST_CASE("the ratio of pauses is one that most streams stay below")
+TEST_CASE("the pause ratio is one that most streams stay below")
 {
     PauseRatioEstimator estimator;
     CHECK(estimator.ratio() == 0);
     for (int i = 0; i < 1000; ++i) {
-        // Ratios 1 to 10, as often.
+        // Ratios 1 to 10, equally often.
         estimator.record(20, 20.0 * (1 + i * 7 % 10));
     }
     CHECK(estimator.ratio() > 6.5);
     CHECK(estimator.ratio() < 10);
 }
 
-TEST_CASE("streams too short to tell, and a few, say nothing")
+TEST_CASE("streams without a mean pause, or too few streams, give no ratio")
 {
     PauseRatioEstimator estimator;
     for (int i = 0; i < 100; ++i) {
@@ -29,8 +29,8 @@
     CHECK(estimator.ratio() == 0);
 }
 
-// Engines change: another model, other prompts beside the streams.
-TEST_CASE("the ratio follows engines that pause longer than before")
+// Engines change: they load another model, or other prompts are processed beside the streams.
+TEST_CASE("the ratio adapts to engines that pause longer than before")
 {
     PauseRatioEstimator estimator;
     for (int i = 0; i < 200; ++i) {
--- a/tests/placement/placementclienttest.cpp
+++ b/tests/placement/placementclienttest.cpp
@@ -49,20 +49,20 @@
 
 }
 
-TEST_CASE("all VMs of a data centre ask the same one, and never one of another data centre")
+TEST_CASE("all VMs of a data centre use the same server, and never one of another data centre")
 {
     PlacementClient one(VmName{"10.0.0.1"}, LocalDataCentre, 7);
     PlacementClient two(VmName{"10.0.0.2"}, LocalDataCentre, 8);
-    CHECK(one.server(Start) == VmName{"10.0.0.1"}); // Nobody is known yet.
+    CHECK(one.server(Start) == VmName{"10.0.0.1"}); // No candidates are set yet.
     one.setCandidates(fleetOf({"10.0.0.1", "10.0.0.2", "10.0.0.3"}));
     two.setCandidates(fleetOf({"10.0.0.3", "10.0.0.2", "10.0.0.1"}));
     CHECK(one.server(Start) == two.server(Start));
     CHECK(one.server(Start) != VmName{"10.0.1.1"});
 }
 
-// What callers see when the VM that places is killed, frozen or cut off: every request of the data centre waits until it is refused. The
-// server gives signs of life while something waits, so silence shows it, and the next VM is asked.
-TEST_CASE("a silent server is passed over, the next ones in turn, and this VM itself in the end")
+// Guards against every request of a data centre waiting until it is refused when the placement server is killed, frozen or partitioned. The server
+// sends keepalives while requests wait, so their absence reveals the failure, and the next VM is used.
+TEST_CASE("a server that times out is replaced by the next ones in turn, and finally by this VM itself")
 {
     PlacementClient client(Self, LocalDataCentre, 7);
     client.setCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
@@ -80,7 +80,7 @@
     CHECK(client.server(after(3200)) == first);
 }
 
-TEST_CASE("a server that leaves is asked no more")
+TEST_CASE("a server that is leaving is no longer used")
 {
     PlacementClient client(Self, LocalDataCentre, 7);
     client.setCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
@@ -92,8 +92,8 @@
     CHECK(client.server(after(5)) != first);
 }
 
-// What the caller would see: a deposit charged twice. A grant may come twice, late, from a server that is no longer asked, or for a process
-// before this one; only the first that counts begins a sending.
+// Guards against a deposit that is charged twice. A grant may arrive twice, late, from a server that is no longer used, or for a previous process;
+// only the first valid one begins an attempt.
 TEST_CASE("a request is granted once")
 {
     PlacementClient client(Self, LocalDataCentre, 7);
@@ -113,7 +113,7 @@
     CHECK(client.handleReply(server, granting(id), after(4)).empty());
 }
 
-TEST_CASE("a state tells all that waits and is under way, and each end once")
+TEST_CASE("a state contains all waiting and placed requests, and each ended attempt once")
 {
     PlacementClient client(Self, LocalDataCentre, 7);
     const PlacementId sent = client.requestPlacement(draft(), Start);
@@ -136,9 +136,10 @@
     CHECK(client.state(after(300)).ended_size() == 0);
 }
 
-// Pattern: a burst that makes forty requests wait at each of twenty VMs. Told whole with each change, they used up the placement server's
-// processor, and every first event came half a second late. What the server has confirmed is told by its id alone.
-TEST_CASE("what the server has confirmed is told by its id until it changes or another server is asked")
+// Guards against full states overloading the placement server: in a burst that makes forty requests wait at each of twenty VMs, sending them in full
+// with each change used up the server's CPU, and every first event was half a second late. Requests that the server has confirmed are sent as ids
+// alone.
+TEST_CASE("a confirmed request is sent as its id until it changes or another server is used")
 {
     PlacementClient client(Self, LocalDataCentre, 7);
     client.setCandidates(fleetOf({"10.0.0.2", "10.0.0.3"}));
@@ -158,7 +159,7 @@
         client.handleReply(server, granting(id), after(4));
         CHECK(client.state(after(4)).placed_size() == 1);
     }
-    SECTION("the server's process restarted, or forgot this VM")
+    SECTION("the server's process restarted, or dropped this VM")
     {
         reply.set_tell_all(true);
         reply.set_seen(client.state(after(4)).sequence());
@@ -172,7 +173,7 @@
     }
 }
 
-TEST_CASE("the first events of a granted request are told with its next state")
+TEST_CASE("the first events of a granted request are reported with its next state")
 {
     PlacementClient client(Self, LocalDataCentre, 7);
     client.setCandidates(fleetOf({"10.0.0.1"}));
@@ -187,7 +188,7 @@
     CHECK(state.placed(0).early_pace_ms() == 19.5);
 }
 
-TEST_CASE("a departure is newer than every state before it")
+TEST_CASE("a departure has a higher sequence number than every state before it")
 {
     PlacementClient client(Self, LocalDataCentre, 7);
     const v1::EntryState before = client.state(Start);
--- a/tests/placement/placementservertest.cpp
+++ b/tests/placement/placementservertest.cpp
@@ -32,7 +32,7 @@
     };
 }
 
-/// An entry VM's state, as its client would tell it.
+/// An entry VM's state, as its client would send it.
 struct EntryVm
 {
     v1::EntryState state;
@@ -63,7 +63,7 @@
     }
 };
 
-/// The ids granted to a VM.
+/// Ids of the requests granted to a VM.
 std::vector<std::uint64_t> grantedTo(const VmName &vm, const std::vector<PlacementServer::Reply> &replies)
 {
     std::vector<std::uint64_t> ids;
@@ -91,9 +91,9 @@
 
 }
 
-// Pattern: a burst at all entry VMs at once. What callers see: first events ten times as late. Each VM takes an engine's last place for
-// free, and the engine, which knows no priorities, lets the others wait inside.
-TEST_CASE("two VMs together get no more places than there are")
+// Guards against first events that take ten times as long in a burst at all entry VMs: each VM would use an engine's last slot, and the engine, which
+// knows no priorities, queues the excess requests internally.
+TEST_CASE("two VMs together are granted no more slots than there are")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 2)}, Start);
@@ -109,7 +109,7 @@
     CHECK(server.waitingCount() == 1);
 }
 
-TEST_CASE("a place that becomes free goes to the most urgent request of all VMs")
+TEST_CASE("a slot that becomes free goes to the most urgent request of all VMs")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
@@ -132,9 +132,9 @@
     CHECK(grantedTo(Vm1, replies).empty());
 }
 
-// What the caller sees: its request waits until it is refused, though it was given a place. The datagram with the grant was lost. The entry
-// VM's next state still asks, which says so.
-TEST_CASE("a grant that the VM does not know of is told again and takes no second place")
+// Guards against a request that waits until it is refused although it was granted, because the datagram with the grant was lost. The entry VM's next
+// state still lists the request as waiting.
+TEST_CASE("an unacknowledged grant is resent and takes no second slot")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 2)}, Start);
@@ -152,9 +152,9 @@
     CHECK(notice.loads(0).in_flight() == 1);
 }
 
-// What callers see: after some hours the service refuses everything although its upstreams are idle. A place whose request has ended, or
-// whose VM died or started anew, was never given back.
-TEST_CASE("places come back when a request ends, its VM restarts, and its VM falls silent")
+// Guards against a service that refuses everything after some hours although its upstreams are idle: the slot of a request that ended, or whose VM
+// died or restarted, was never released.
+TEST_CASE("slots are released when a request ends, its VM restarts, or its VM times out")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
@@ -166,17 +166,17 @@
     other.addAsk(9);
     server.handleState(Vm2, other.next(), Start);
     REQUIRE(grantedTo(Vm2, server.advance(after(1))).empty());
-    SECTION("its caller left before the grant came")
+    SECTION("its caller left before the grant arrived")
     {
         entry.state.clear_asks();
         server.handleState(Vm1, entry.next(), after(10));
     }
-    SECTION("a new process tells its own state")
+    SECTION("a new process sends its own state")
     {
         EntryVm restarted(8);
         server.handleState(Vm1, restarted.next(), after(10));
     }
-    SECTION("silence")
+    SECTION("timeout")
     {
         server.handleState(Vm2, other.next(), after(1600));
         server.expireTimedOut(after(1700));
@@ -184,7 +184,7 @@
     CHECK(grantedTo(Vm2, server.advance(after(1700))) == Ids{9});
 }
 
-TEST_CASE("an overtaken state changes nothing")
+TEST_CASE("a state that arrives out of order is ignored")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
@@ -196,9 +196,9 @@
     CHECK(grantedTo(Vm1, server.advance(Start)) == Ids{1});
 }
 
-// Pattern: the placement server's VM is killed under load. What callers see: the next server, which knows of no request under way, fills
-// engines that are full, and first events come late for seconds. The states tell what is under way.
-TEST_CASE("a server that takes over counts what was granted before it")
+// Guards against engines that are overfilled, with first events late for seconds, after the placement server's VM was killed under load: the next
+// server knows the placed requests only from the states.
+TEST_CASE("a server that takes over counts requests that its predecessor granted")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 2)}, Start);
@@ -213,7 +213,7 @@
     CHECK(grantedTo(Vm1, server.advance(after(10))) == Ids{3});
 }
 
-TEST_CASE("what waited too long is refused and told when to come back, and a request of a lower rank with it")
+TEST_CASE("an expired request is refused with a retry time, and a waiting request of a lower rank with it")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
@@ -229,8 +229,8 @@
     CHECK(replies.front().second.refusals(0).retry_after_ms() >= 500);
 }
 
-// An entry VM passes over a server that is silent while something waits: without a sign of life a full service would look like a dead server.
-TEST_CASE("a VM whose requests wait hears that the server lives")
+// An entry VM replaces a server that sends nothing while requests wait: without keepalives a full service would look like a dead server.
+TEST_CASE("a VM with waiting requests receives keepalives")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
@@ -243,8 +243,8 @@
     CHECK(server.advance(after(40)).size() == 1);
 }
 
-// What callers see: an organisation over its limit is refused as if the service were full, and others are sent away with it.
-TEST_CASE("a request over its organisation's limit is refused at once, and one without room gives its part of the limit back")
+// Guards against an organisation over its limit being refused as if the service were full, and other organisations with it.
+TEST_CASE("a request over its organisation's limit is refused at once, and one refused for lack of a slot is refunded")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
@@ -260,14 +260,14 @@
         entry.state.mutable_asks()->rbegin()->set_organisation("ensemble");
         entry.state.mutable_asks()->rbegin()->set_cost(400);
     }
-    // The first level is half of the burst: two pass, the second by an overdraft.
+    // The initial level is half of the burst: two requests pass, the second by an overdraft.
     server.handleState(Vm1, entry.next(), Start);
     const auto replies = server.advance(Start);
     CHECK(grantedTo(Vm1, replies) == Ids{1});
     REQUIRE(refusalCount(replies) == 1);
     CHECK(replies.front().second.refusals(0).id() == 3);
     CHECK(replies.front().second.refusals(0).reason() == v1::PLACEMENT_OVER_LIMIT);
-    // The second is refused for want of room; the limit is then as if it had never asked.
+    // The second request is refused for lack of a slot; the limit is then as if it had never been requested.
     const auto later = server.advance(after(1300));
     REQUIRE(refusalCount(later) == 1);
     CHECK(later.front().second.refusals(0).reason() == v1::PLACEMENT_NO_ROOM);
@@ -277,7 +277,7 @@
     CHECK(notice.spends(0).admitted() == 400);
 }
 
-TEST_CASE("a request that is told by its id alone keeps its place, and loses it when it is left out")
+TEST_CASE("a request listed by its id alone keeps its slot, and loses it when the state omits it")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
@@ -292,7 +292,7 @@
     server.handleState(Vm1, entry.next(), after(5));
     CHECK(grantedTo(Vm1, server.advance(after(5))).empty());
     CHECK(server.waitingCount() == 1);
-    // The grant is told again, since the VM still waits.
+    // The grant is resent, since the VM still waits.
     server.handleState(Vm1, entry.next(), after(30));
     CHECK(grantedTo(Vm1, server.advance(after(30))) == Ids{1});
     entry.state.clear_unchanged();
@@ -301,8 +301,8 @@
     CHECK(grantedTo(Vm1, server.advance(after(40))) == Ids{2});
 }
 
-// What the operator sees: an upstream that leaves gets new work seconds after the platform's list showed it. The VM that places was not
-// asked for a while and did not read the list meanwhile; then the VM before it fails, and the first requests go by the old list.
+// Guards against new requests at an upstream seconds after the platform's list showed that it shuts down: a VM that was not placement server for a
+// while did not read the list, and after its predecessor failed it places the first requests by the old list.
 TEST_CASE("nothing is granted by a list from before a pause, unless the list can't be read")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
@@ -323,9 +323,9 @@
     }
 }
 
-// What the operator sees: an organisation gets twice its limit while placing VMs are overloaded and their data centres ask other VMs too. Those
-// heard of the rest only ten times as rarely as the first ones.
-TEST_CASE("a server that places requests for a silent one is known as active to the others until it falls silent")
+// Guards against an organisation that gets twice its limit while placement servers are overloaded and their data centres use other VMs too: those
+// substitutes received notices only a tenth as often.
+TEST_CASE("a server that substitutes for a timed out one counts as an active peer until it times out")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     v1::LoadNotice notice;
@@ -338,14 +338,14 @@
     CHECK(server.activePeers(after(500)).empty());
 }
 
-// What callers see: after some hours an engine gets nothing any more though it is idle. An entry VM asked this server, then another one, which
-// placed the request, and comes back: what this one had planned for it still stood, beside the sending that the VM tells of.
-TEST_CASE("a request that another server placed meanwhile holds one place, and gives it back")
+// Guards against an idle engine that gets no requests after some hours. An entry VM used this server, then another one that placed the request, and
+// returned: what this server had assigned to the request was still held beside the attempt that the VM reported.
+TEST_CASE("a request that another server placed meanwhile holds one slot, and releases it")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1), engine("b", 1)}, Start);
     EntryVm entry;
-    SECTION("it still waited here")
+    SECTION("it was still waiting here")
     {
         EntryVm other;
         other.addPlaced(8, "a");
@@ -381,9 +381,9 @@
     CHECK(later.loads(0).prompt_tokens() == 0);
 }
 
-// What callers see: their requests wait until they are refused, and engines get more than their places. The server stood still for seconds and
-// has forgotten the VM; the VM, which it had confirmed everything to, names its requests by their ids only.
-TEST_CASE("a server that does not know what is told by an id alone asks for all of it")
+// Guards against requests that wait until they are refused, and engines that get more requests than they have slots. The server stalled for seconds
+// and dropped the VM, while the VM, whose state had been confirmed, lists its requests by id only.
+TEST_CASE("a server that does not know a request listed by id alone asks for the whole state")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
@@ -406,9 +406,8 @@
     CHECK_FALSE(resent.front().second.tell_all());
 }
 
-// What callers see: an organisation far below its limit is refused (429), because many of its callers left while they waited, and each took its
-// part of the limit with it.
-TEST_CASE("a caller that leaves while it waits gives its part of the limit back")
+// Guards against refusals (429) of an organisation far below its limit, because many of its callers left while they waited and were not refunded.
+TEST_CASE("the charge of a caller that leaves while it waits is refunded")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
@@ -432,9 +431,9 @@
     CHECK(notice.spends(0).admitted() == 0);
 }
 
-// Pattern: entry VMs restarted in turn, the placing one among them. What callers see: for more than a second they wait and are refused (503) although a fifth
-// of all places is free. The VM's requests are counted by the server that it asks now, and by the one that it asked before.
-TEST_CASE("a VM that asks another server leaves nothing behind")
+// Guards against requests that wait for more than a second and are refused (503) although a fifth of all slots is free, when entry VMs are restarted
+// in turn, the placement server among them: a VM's requests were counted by its new server and by its previous one.
+TEST_CASE("a VM that departs to another server has its requests released")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 2)}, Start);
@@ -456,13 +455,13 @@
         server.handleState(Vm2, other.next(), after(2));
         CHECK(grantedTo(Vm2, server.advance(after(2))) == Ids{5});
     }
-    SECTION("but not by one that was sent before it came back")
+    SECTION("but not by a departure that was sent before it returned")
     {
         departure.set_sequence(1);
         server.handleState(Vm1, departure, after(1));
         CHECK(server.hasRequests());
     }
-    SECTION("nor by one of the process before")
+    SECTION("nor by a departure of the previous process")
     {
         departure.set_sequence(9);
         departure.set_incarnation(6);
@@ -471,9 +470,9 @@
     }
 }
 
-// Pattern: a burst to twice of what the engines can do. What callers see: nearly everybody's answer is late, because requests that were late anyway wait on
-// and take the places that become free from those that still have time.
-TEST_CASE("a request that can't be on time any more doesn't wait for a place")
+// Guards against nearly all answers being late in a burst to twice the engines' capacity: requests that would be late anyway keep waiting and use the
+// slots that requests with time left need.
+TEST_CASE("a request that can no longer be on time doesn't wait for a slot")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
@@ -487,7 +486,7 @@
     REQUIRE(refusalCount(replies) == 1);
     CHECK(replies.front().second.refusals(0).id() == 2);
     CHECK(server.waitingCount() == 1);
-    SECTION("it takes one that is free now")
+    SECTION("it gets a slot that is free now")
     {
         entry.state.clear_placed();
         entry.state.clear_asks();
@@ -498,9 +497,9 @@
     }
 }
 
-// What operators see: the longest prompts are refused several times as often as others, since reading them takes most of their objective even on an idle
-// engine.
-TEST_CASE("a prompt that takes most of its objective to read may wait for a place all the same")
+// Guards against the longest prompts being refused several times as often as others, since their prefill takes most of their objective even on an
+// idle engine.
+TEST_CASE("a prompt whose prefill takes most of its objective may still wait for a slot")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 1)}, Start);
@@ -521,7 +520,7 @@
     CHECK(refusalCount(server.advance(after(400))) == 1);
 }
 
-TEST_CASE("a server asks for the pace of an upstream that it does not know")
+TEST_CASE("a server asks for the pace of an upstream whose pace is unknown")
 {
     PlacementServer server(DataCentreName{"dc-a"}, 0);
     server.setList({engine("a", 2)}, Start);
--- a/tests/placement/requestqueuetest.cpp
+++ b/tests/placement/requestqueuetest.cpp
@@ -20,7 +20,7 @@
 
 }
 
-TEST_CASE("higher ranks come first and within a rank who must start soonest")
+TEST_CASE("higher ranks come first, and within a rank the request with the earliest latest start")
 {
     RequestQueue<PlacementId> queue;
     queue.enqueue(PlacementId{1}, Routine, after(10), after(900));
@@ -29,24 +29,24 @@
     CHECK(queue.inOrder(Start) == std::vector{PlacementId{3}, PlacementId{2}, PlacementId{1}});
 }
 
-// What callers see in a burst: once the line is longer than the time to the objective, every answer is late, also long after the
-// engines could keep up again. Each place that becomes free goes to a request that is late already, while the next one becomes late.
-TEST_CASE("a request that can still be on time goes before a late one of its rank")
+// Guards against every answer being late, even long after a burst: once the queue is longer than the time to the objective, each slot that becomes
+// free would go to a request that is late already, while the next one becomes late.
+TEST_CASE("a request that can still be on time precedes a late one of its rank")
 {
     RequestQueue<PlacementId> queue;
     queue.enqueue(PlacementId{1}, Committee, after(100), after(900));
     queue.enqueue(PlacementId{2}, Committee, after(400), after(900));
     CHECK(queue.inOrder(after(200)) == std::vector{PlacementId{2}, PlacementId{1}});
-    SECTION("but not before a higher rank's late one")
+    SECTION("but not a late one of a higher rank")
     {
         queue.enqueue(PlacementId{3}, Routine, after(800), after(900));
         CHECK(queue.inOrder(after(200)).back() == PlacementId{3});
     }
 }
 
-// What callers see: a committee's draft is refused for want of room while a routine summary goes on waiting and is served a moment later.
-// The draft's time to wait ends first, since its objective is shorter.
-TEST_CASE("no higher rank is refused while a lower one goes on waiting")
+// Guards against a committee's draft being refused for lack of a slot while a routine summary keeps waiting and is served a moment later. The draft
+// expires first, since its objective is shorter.
+TEST_CASE("no higher rank is refused while a lower one keeps waiting")
 {
     RequestQueue<PlacementId> queue;
     queue.enqueue(PlacementId{1}, Committee, after(100), after(300));
@@ -56,7 +56,7 @@
     CHECK(queue.empty());
 }
 
-TEST_CASE("a lower rank that is overdue leaves higher ones waiting")
+TEST_CASE("an expired request of a lower rank leaves higher ranks waiting")
 {
     RequestQueue<PlacementId> queue;
     queue.enqueue(PlacementId{1}, Committee, after(900), after(1500));
--- a/tests/placement/upstreampooltest.cpp
+++ b/tests/placement/upstreampooltest.cpp
@@ -45,9 +45,9 @@
 
 }
 
-// What callers see in a burst: first events take ten times as long. Each VM sees room at an engine that the other VMs have filled, and the
-// engine, which knows no priorities, lets them wait inside.
-TEST_CASE("places that other VMs have taken are not taken again")
+// Guards against first events that take ten times as long in a burst: each VM sees free slots at an engine that the other VMs have filled, and the
+// engine, which knows no priorities, queues the excess requests internally.
+TEST_CASE("slots used by other VMs' requests are not free")
 {
     UpstreamPool pool(LocalDataCentre);
     pool.setList({instance("a"), instance("b")});
@@ -55,7 +55,7 @@
     CHECK(chosen(pool, Start) == "b");
     pool.handleNotice(VmName{"vm-3"}, noticeOf(1, 1, "b", 2), Start);
     CHECK(chosen(pool, Start).empty());
-    SECTION("a later notice of a VM replaces its earlier one and an overtaken one changes nothing")
+    SECTION("a later notice of a VM replaces its earlier one, and one that arrives out of order is ignored")
     {
         pool.handleNotice(VmName{"vm-2"}, noticeOf(1, 3, "a", 1), Start);
         pool.handleNotice(VmName{"vm-2"}, noticeOf(1, 2, "a", 2), Start);
@@ -67,19 +67,19 @@
         pool.handleNotice(VmName{"vm-2"}, noticeOf(2, 1, "a", 1), Start);
         CHECK(chosen(pool, Start) == "a");
     }
-    SECTION("a VM that fell silent holds no place for ever")
+    SECTION("the slots of a VM that timed out become free")
     {
         pool.expireTimedOut(Start + std::chrono::seconds(2));
         CHECK_FALSE(chosen(pool, Start + std::chrono::seconds(2)).empty());
     }
-    SECTION("a new list keeps what the VMs told")
+    SECTION("a new list keeps the loads reported by VMs")
     {
         pool.setList({instance("a"), instance("b"), instance("c")});
         CHECK(chosen(pool, Start) == "c");
     }
 }
 
-TEST_CASE("an upstream that leaves gets nothing from the list that says so on")
+TEST_CASE("a draining upstream gets no requests")
 {
     UpstreamPool pool(LocalDataCentre);
     UpstreamInstance leaving = instance("a");
@@ -88,8 +88,8 @@
     CHECK(chosen(pool, Start).empty());
 }
 
-// What callers see: an upstream that fails everything in no time looks like the fastest and gets more and more.
-TEST_CASE("an upstream that fails several requests in a row rests and is tried again later")
+// Guards against an upstream that fails every request at once, which makes it look like the fastest and attracts more and more requests.
+TEST_CASE("an upstream that fails several requests in a row is ejected and used again later")
 {
     UpstreamPool pool(LocalDataCentre);
     pool.setList({instance("a"), instance("b", "dc-b")});
@@ -100,7 +100,7 @@
     CHECK(chosen(pool, Start + std::chrono::seconds(5)) == "a");
 }
 
-TEST_CASE("a request leaves its data centre only when it gains by it")
+TEST_CASE("a request leaves its data centre only when a remote upstream is sufficiently faster")
 {
     UpstreamPool pool(LocalDataCentre);
     pool.setList({instance("near"), instance("far", "dc-b")});
@@ -111,7 +111,7 @@
     CHECK(chosen(pool, Start) == "far");
 }
 
-TEST_CASE("a long prompt goes where less is to be read before it")
+TEST_CASE("a long prompt goes to the engine with fewer pending prompt tokens")
 {
     UpstreamPool pool(LocalDataCentre);
     pool.setList({instance("a"), instance("b")});
@@ -129,8 +129,8 @@
     CHECK(predictedTime == Approx(80).margin(1));
 }
 
-// What operators see: a version that was taken back goes on getting traffic, or one in its first minutes gets more than its share.
-TEST_CASE("a request goes only to the version it is for")
+// Guards against a version that was rolled back but still gets traffic, or a version in its first minutes that gets more than its share.
+TEST_CASE("a request goes only to the version that its share selects")
 {
     UpstreamPool pool(LocalDataCentre);
     UpstreamInstance next = instance("new");
@@ -143,10 +143,12 @@
     CHECK(chosen(pool, Start, query) == "new");
 }
 
-// Pattern: a burst on engines of which a third are 4.4 times slower (speeds 0.68 and 3). What callers see: streams on the slow ones stand
-// still for over 200 ms while a long prompt is read beside them, so all of them are late; the same prompts do no harm on the fast ones.
-// Figures: events 20 ms apart on a fast engine and 65 on a slow one, prompts read at 160 tokens a millisecond, longest pauses three times the mean ones.
-TEST_CASE("a prompt whose reading would make the streams beside it pause too long goes elsewhere")
+// Guards against late streams on slow engines in a burst. A third of the engines are 4.4 times slower (speeds 0.68 and 3): their streams pause for
+// over 200 ms while a long prompt is processed beside them, and the same prompts do no harm on the fast engines.
+//
+// Events are 20 ms apart on a fast engine and 65 ms on a slow one, prompts are processed at 160 tokens a millisecond, and the longest pauses are
+// three times the mean.
+TEST_CASE("a prompt whose prefill would pause concurrent streams for too long goes to another engine")
 {
     UpstreamPool pool(LocalDataCentre);
     pool.setList({instance("fast", "dc-a", 3), instance("slow", "dc-a", 3)});
@@ -166,21 +168,21 @@
     pool.acquireSlot(InstanceName{"fast"}, 0);
     CHECK(chosen(pool, Start, query(20'000)).empty());
     CHECK(chosen(pool, Start, query(1000)) == "slow");
-    SECTION("nobody is disturbed on an engine that has nothing to do")
+    SECTION("an idle engine has no streams to pause")
     {
         pool.releaseSlot(InstanceName{"slow"});
         CHECK(chosen(pool, Start, query(20'000)) == "slow");
     }
-    SECTION("prompts that are not read yet count with it")
+    SECTION("pending prompts add to the pause")
     {
         pool.acquireSlot(InstanceName{"slow"}, 5000);
         CHECK(chosen(pool, Start, query(1000)).empty());
     }
 }
 
-// Pattern: engines of three speeds under load, answers whose lengths differ a hundredfold. What the caller sees: nothing, after its whole time limit. Its long
-// answer was given to a slow engine, which would have needed twice the time, and held a place there all the while.
-TEST_CASE("a long answer goes where it ends before its deadline")
+// Guards against callers that get nothing until their time limit, on engines of three speeds under load with answers whose lengths differ a
+// hundredfold: a long answer was placed on a slow engine, which would have needed twice the time and used a slot throughout.
+TEST_CASE("a long answer goes to an engine that finishes it before its deadline")
 {
     UpstreamPool pool(LocalDataCentre);
     pool.setList({instance("fast"), instance("slow")});
@@ -192,17 +194,17 @@
     pool.acquireSlot(InstanceName{"fast"}, 0);
     pool.acquireSlot(InstanceName{"fast"}, 0);
     CHECK(chosen(pool, Start, query).empty());
-    SECTION("a short one takes the place on the slow engine")
+    SECTION("a short answer uses the slot on the slow engine")
     {
         query.expectedEvents = 50;
         CHECK(chosen(pool, Start, query) == "slow");
     }
-    SECTION("one that no engine would end in time is tried, for the estimate may be wrong")
+    SECTION("an answer that no engine would finish in time is placed anyway, since the estimate may be wrong")
     {
         query.expectedEvents = 3000;
         CHECK(chosen(pool, Start, query) == "slow");
     }
-    SECTION("it waits for no engine that is out of use")
+    SECTION("it does not wait for an engine that is ejected")
     {
         pool.recordFailure(InstanceName{"fast"}, Start);
         pool.recordFailure(InstanceName{"fast"}, Start);
@@ -210,9 +212,9 @@
     }
 }
 
-// Pattern: all VMs restart at once and know no engine's speed. What callers see: first events and pauses five times as long as before, until the first answers
-// end. The slowest engines, taken for the fastest until then, had been filled.
-TEST_CASE("an engine of unknown speed gets a few requests until its first events tell")
+// Guards against first events and pauses that take five times as long after all VMs restarted at once and know no engine's pace, until the first
+// answers end: the slowest engines were taken for the fastest and filled.
+TEST_CASE("an engine of unknown pace gets few requests until its first events are measured")
 {
     UpstreamPool pool(LocalDataCentre);
     pool.setList({instance("known", "dc-a", 9), instance("new", "dc-a", 9)});
@@ -231,7 +233,7 @@
     pool.recordEarlyPace(InstanceName{"new"}, 10);
     CHECK(pool.knowsPace(InstanceName{"new"}));
     CHECK(chosen(pool, Start) == "new");
-    SECTION("ended answers go before first events")
+    SECTION("the pace of whole answers takes precedence over that of first events")
     {
         pool.recordPace(InstanceName{"new"}, 10);
         pool.recordEarlyPace(InstanceName{"new"}, 500);
@@ -242,7 +244,7 @@
 namespace
 {
 
-/// A placement server with so many upstreams, and the notices that it sends.
+/// A placement server with this many upstreams, and the notices that it sends.
 struct NoticeSender
 {
     explicit NoticeSender(int upstreams)
@@ -275,11 +277,11 @@
 
 }
 
-// Guards against notices that grow with all upstreams: with 3,000 they were larger than a datagram, and no server heard of another.
-TEST_CASE("a notice of a server with 3,000 upstreams tells what changed, and a part of the rest")
+// Guards against notices that grow with the number of upstreams: with 3,000 they exceeded a datagram, and no server received another's loads.
+TEST_CASE("a notice of a server with 3,000 upstreams contains the changed loads and a slice of the others")
 {
     constexpr int Upstreams = 3'000;
-    constexpr std::size_t MostBytes = 16 << 10;
+    constexpr std::size_t MaxBytes = 16 << 10;
     NoticeSender sender(Upstreams);
     for (int i = 0; i < Upstreams; ++i) {
         sender.pool.acquireSlot(InstanceName{NoticeSender::nameOf(i)}, 4'000);
@@ -287,15 +289,15 @@
     }
     sender.next(true);
     for (int i = 0; i < 40; ++i) {
-        CHECK(sender.next(i % 10 == 9).ByteSizeLong() <= (i % 10 == 9 ? 2 : 1) * MostBytes);
+        CHECK(sender.next(i % 10 == 9).ByteSizeLong() <= (i % 10 == 9 ? 2 : 1) * MaxBytes);
     }
     sender.pool.recordPrefillDone(InstanceName{NoticeSender::nameOf(7)}, 4'000);
     const v1::LoadNotice changed = sender.next();
     CHECK(std::ranges::any_of(changed.loads(), [](const v1::UpstreamLoad &load) { return load.upstream() == NoticeSender::nameOf(7); }));
 }
 
-// Guards against places that count as taken, or as free, for as long as a server runs, since one notice was lost.
-TEST_CASE("what a lost notice told is told again soon")
+// Guards against slots that count as used, or as free, for as long as a server runs because one notice was lost.
+TEST_CASE("loads in a lost notice are reported again soon")
 {
     NoticeSender sender(2);
     UpstreamPool receiver(LocalDataCentre);
@@ -311,7 +313,7 @@
         }
         CHECK(receiver.inFlight(name) == 1);
     }
-    SECTION("the end of a load, lost both times that it was told")
+    SECTION("the end of a load, lost both times that it was reported")
     {
         for (int i = 0; i < 16; ++i) {
             receiver.handleNotice(vm, sender.next(), Start);
@@ -328,8 +330,8 @@
     }
 }
 
-// Guards against a server that takes over and sends to engines that are full or slow, since it only hears what changes.
-TEST_CASE("a backup that hears few notices knows all loads and paces after some of them")
+// Guards against a server that takes over and sends requests to engines that are full or slow, because it received only changes.
+TEST_CASE("a backup that receives few notices knows all loads and paces after some of them")
 {
     NoticeSender sender(100);
     UpstreamPool receiver(LocalDataCentre);
@@ -354,8 +356,8 @@
     }
 }
 
-// Guards against new work for an upstream that left while only the nearer part of the list was read.
-TEST_CASE("farther upstreams are used while their part of the list is fresh, or while the list can't be read")
+// Guards against new requests for an upstream that shut down while only the local part of the list was read.
+TEST_CASE("remote upstreams are used while their part of the list is fresh, or while the list can't be read")
 {
     UpstreamPool pool(LocalDataCentre);
     pool.setList({instance("near"), instance("far", "dc-b")}, Start);
@@ -381,8 +383,8 @@
     }
 }
 
-// Guards against a data centre that refuses callers beside free upstreams of the others, since nobody reads their part of the list.
-TEST_CASE("a choice says when a farther upstream might be better")
+// Guards against a data centre that refuses callers although other data centres have free upstreams, because nothing reads their parts of the list.
+TEST_CASE("a placement indicates when a remote upstream might be better")
 {
     UpstreamPool pool(LocalDataCentre);
     pool.setList({instance("near")}, Start);
