--- a/src/proxy/attempts.h
+++ b/src/proxy/attempts.h
@@ -7,27 +7,27 @@
 namespace cumindyke
 {
 
-/// How a sending to an upstream ended without an answer for the caller.
+/// How an attempt at an upstream ended without an answer for the caller.
 enum class AttemptEnd {
-    NotSent, ///< no byte of it left this process
-    RefusedNotRun, ///< the upstream says that it did not run it
-    RanAndFailed, ///< the upstream ran it and answered with a failure
-    Lost, ///< no whole answer came: it may have run
+    NotSent, ///< no byte of the request left this process
+    RefusedNotRun, ///< the upstream reports that it did not run the request
+    RanAndFailed, ///< the upstream ran the request and answered with a failure
+    Lost, ///< no complete answer arrived: the request may have run
 };
 
-/// What may happen to a request next.
+/// The next step for a request after an attempt has ended.
 enum class NextStep {
-    Retry, ///< send it to another upstream, if the retry budget allows
-    RefuseNotRun, ///< tell the caller that it has not run: proved
-    ForwardFailure, ///< the caller gets the upstream's own failure
-    FailUnknownOutcome, ///< the caller gets a failure that promises nothing
+    Retry, ///< send the request to another upstream, if the retry budget allows
+    RefuseNotRun, ///< refuse the request: it is certain that it has not run
+    ForwardFailure, ///< forward the upstream's failure to the caller
+    FailUnknownOutcome, ///< fail the request without stating whether it has run
 };
 
-/// The record of all sendings of one request, in one place on the entry VM that took it.
+/// The record of all attempts of one request, kept in one place on the entry VM that received it.
 ///
-/// Failure guarded against: a second sending that races a slow first one, seen by callers as a deposit charged twice, or a refusal that
-/// says "not run" of a request that ran. Only this object allows a sending, it allows another one of a request that must not be
-/// repeated only after proof that none before it ran, and it alone says whether "not run" is true.
+/// Guards against a second attempt that races a slow first one, which callers see as a deposit charged twice, and against a refusal that says "not
+/// run" of a request that ran. Only this object permits an attempt. It permits a further attempt of a request that must not be repeated only after
+/// proof that no earlier attempt ran, and it alone decides whether "not run" is true.
 class Attempts
 {
 public:
@@ -37,18 +37,18 @@
     {
     }
 
-    /// A sending begins. Not to be called while one is under way or when mayHaveRun() forbids it.
+    /// Records the start of an attempt. Must not be called while another attempt is in flight or when mayHaveRun() forbids it.
     void recordStart()
     {
         m_inFlight = true;
         ++m_attemptCount;
     }
-    /// The sending under way ended without an answer for the caller.
+    /// Records the end of the current attempt without an answer for the caller, and returns the next step.
     NextStep recordEnd(AttemptEnd end)
     {
         m_inFlight = false;
         if (end == AttemptEnd::NotSent) {
-            // It reached no upstream, so it counts as none.
+            // It reached no upstream, so it does not count as an attempt.
             --m_attemptCount;
             ++m_unreachableCount;
             return m_unreachableCount < MaxUnreachable ? NextStep::Retry : finalStep(end);
@@ -58,7 +58,7 @@
         const bool allowed = !m_mayHaveRun || repeatable;
         return allowed && m_attemptCount < m_maxAttempts ? NextStep::Retry : finalStep(end);
     }
-    /// The request is not tried again, although another sending was allowed.
+    /// Returns the final step of a request that is not retried, even if a retry was permitted.
     NextStep finalStep(AttemptEnd end) const
     {
         if (!m_mayHaveRun) {
@@ -66,7 +66,7 @@
         }
         return end == AttemptEnd::RanAndFailed ? NextStep::ForwardFailure : NextStep::FailUnknownOutcome;
     }
-    /// Whether "not run" would be a guess.
+    /// Whether the request may have run, so that "not run" would be a guess.
     bool mayHaveRun() const
     {
         return m_mayHaveRun || m_inFlight;
@@ -77,7 +77,7 @@
     }
 
 private:
-    /// Unreachable upstreams that a request is tried at: after these the list is plainly out of date.
+    /// Unreachable upstreams that a request is sent to; after this many the list is evidently outdated.
     static constexpr int MaxUnreachable = 3;
 
     v1::RouteKind m_kind;
--- a/src/proxy/eventsplitter.cpp
+++ b/src/proxy/eventsplitter.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Where the last event that is complete in the text ends; 0: none is. An event ends with an empty line, whose end is LF or CRLF.
+/// Returns the position after the last complete event in the text, or 0 if there is none. An event ends with an empty line, terminated by LF or CRLF.
 std::size_t endOfLastEvent(std::string_view text)
 {
     for (const std::string_view emptyLine : {std::string_view("\n\n"), std::string_view("\r\n\r\n")}) {
--- a/src/proxy/eventsplitter.h
+++ b/src/proxy/eventsplitter.h
@@ -6,14 +6,14 @@
 namespace cumindyke
 {
 
-/// Cuts the bytes of an event stream after whole events, unchanged. A stream that breaks off in the middle of an event can be gone on with
-/// at another upstream only when the caller has got whole events so far.
+/// Splits the bytes of an event stream at event boundaries, unchanged. A stream that breaks off within an event can be resumed at another upstream
+/// only if the caller has received whole events so far.
 class EventSplitter
 {
 public:
-    /// The bytes up to the end of the last whole event; the rest is kept for the next call.
+    /// Appends bytes and returns those up to the end of the last whole event; the rest is kept for the next call.
     std::string extractWholeEvents(std::string_view bytes);
-    /// Forgets the part of an event that is kept: the next bytes begin a new one.
+    /// Discards the kept part of an event: the next bytes begin a new event.
     void discardPartial()
     {
         m_partial.clear();
@@ -22,7 +22,7 @@
     {
         return !m_partial.empty();
     }
-    /// Id of the last whole event; empty when it had none.
+    /// Id of the last whole event; empty if no event had one.
     const std::string &lastEventId() const
     {
         return m_lastEventId;
--- a/src/proxy/instancelistreader.cpp
+++ b/src/proxy/instancelistreader.cpp
@@ -9,14 +9,15 @@
 {
 
 constexpr int StatusOk = 200;
-/// The list is small and near: an answer that takes longer is lost.
+/// The list is small and its server is close: an answer that takes longer is lost.
 constexpr ProgressTimeouts ListTimeouts{.connect = std::chrono::milliseconds(500),
                                         .firstByte = std::chrono::milliseconds(800),
                                         .betweenBytes = std::chrono::milliseconds(800)};
-/// Against a list whose pages never end: 50 entries a page make this 10,000 upstreams.
+/// Guards against an endless list: at 50 entries a page these are 10,000 upstreams.
 constexpr std::size_t MaxPages = 200;
 constexpr std::size_t MaxPageBytes = 4 << 20;
-/// The platform takes so many calls a second from all VMs together: a page that it refused is asked for again, later each time, and those before it are kept.
+/// The platform limits the rate of calls from all VMs together. A refused page is requested again with exponential backoff, and the pages before it
+/// are kept.
 constexpr Duration MinRetryDelay = std::chrono::milliseconds(100);
 constexpr int MaxPageRetries = 4;
 
@@ -90,7 +91,7 @@
         }
     });
     m_call->finished().connect([this] { handlePage(); });
-    m_call->failed().connect([this](CallFailure) { handlePageFailure("the call was lost"); });
+    m_call->failed().connect([this](CallFailure) { handlePageFailure("the connection failed"); });
     m_call->start();
 }
 
--- a/src/proxy/instancelistreader.h
+++ b/src/proxy/instancelistreader.h
@@ -13,16 +13,16 @@
 namespace cumindyke
 {
 
-/// What was read: the whole list, or the part of one data centre.
+/// The result of a read: the whole list, or the part of one data centre.
 struct InstanceList
 {
-    /// None: the whole.
+    /// None: the whole list.
     std::optional<DataCentreName> dataCentre;
     std::vector<UpstreamInstance> instances;
 };
 
-/// Reads the platform's list of upstreams, page after page, again and again. While it can't be read, the last list stays in force: it
-/// costs tries at upstreams that are gone, where an empty list would cost every request. Used by one task, in its loop.
+/// Reads the platform's list of upstreams periodically, page by page. While the list can't be read, the last one stays in force: an outdated list
+/// costs attempts at upstreams that have shut down, an empty one would cost every request. Used by one task, in its loop.
 class InstanceListReader
 {
 public:
@@ -30,19 +30,19 @@
 
     void start();
     void stop();
-    /// Whether the own data centre's upstreams are not enough: then the others' are read too.
+    /// Sets whether the local upstreams do not suffice, so that the other data centres' parts are read too.
     void setRemoteWanted(bool wanted);
-    /// One that has entry VMs.
+    /// Adds a data centre that has entry VMs.
     void addDataCentre(const DataCentreName &dataCentre)
     {
         m_schedule.addDataCentre(dataCentre);
     }
-    /// Emitted with what was read; before anything was, also with the first pages of it, for the requests that wait.
+    /// Emitted with each completed read. Before the first one it is also emitted with the first pages, for the sake of waiting requests.
     sigc::signal<void, const InstanceList &> &listRead()
     {
         return m_listRead;
     }
-    /// Emitted when an attempt failed; the next one follows.
+    /// Emitted when a read of a page failed; it is retried.
     sigc::signal<void> &readFailed()
     {
         return m_readFailed;
@@ -64,7 +64,7 @@
     std::unique_ptr<UpstreamCall> m_call;
     int m_status = 0;
     std::string m_body;
-    /// What is being read, with the token of the page that is asked for.
+    /// The current read, with the token of the requested page.
     ListRead m_currentRead;
     InstanceList m_list;
     std::size_t m_pageCount = 0;
--- a/src/proxy/placementhost.cpp
+++ b/src/proxy/placementhost.cpp
@@ -12,25 +12,25 @@
 namespace
 {
 
-/// Several changes at once go in one datagram.
+/// Combines several changes in one datagram.
 constexpr Duration StateDelay = std::chrono::milliseconds(1);
-/// The more wait here, the more changes go in one datagram, and the longer they wait anyway.
+/// Additional delay per waiting request: the more requests wait, the more changes share a datagram, and the longer they wait anyway.
 constexpr Duration StateDelayPerWaiting = std::chrono::microseconds(200);
-/// Several datagrams at once lead to one decision. With a long line each decision takes longer, and is made as much more rarely.
+/// Combines several datagrams in one decision. With a long queue each decision takes longer and is made correspondingly less often.
 constexpr Duration MinAdvanceInterval = std::chrono::milliseconds(2);
 constexpr Duration AdvanceIntervalPerWaiting = std::chrono::microseconds(100);
-/// A notice to the other data centres' servers may be this old: their requests come here only when their own upstreams are full.
+/// Maximum age of the loads that other data centres' servers receive: they place requests here only when their own upstreams are full.
 constexpr Duration NoticeInterval = std::chrono::milliseconds(30);
-/// With nothing new to tell: the others take a server that they don't hear of for longer as gone.
+/// Interval of notices without changes: a server that sends none for longer times out at its peers.
 constexpr Duration IdleNoticeInterval = std::chrono::milliseconds(100);
-/// Every so many notices go to the VMs that are asked next, too, with what was learned: a server that takes over knows it.
+/// Every tenth notice is also sent to the backups, with measured paces, so that a server that takes over knows them.
 constexpr std::uint64_t NoticesPerBackupNotice = 10;
 constexpr std::size_t BackupCount = 2;
-/// Overdue requests, silent servers and lost datagrams are looked for this often while anything is under way.
+/// Interval of the checks for expired requests, timed-out servers and lost datagrams while there are any requests.
 constexpr Duration TickInterval = std::chrono::milliseconds(25);
-/// The state is told again so often, so that a lost datagram is made up for.
+/// The state is resent after this many ticks, to make up for lost datagrams.
 constexpr int TicksPerState = 4;
-/// A VM that nobody asked for so long stops reading the list.
+/// A VM that no other VM used for this long stops reading the list.
 constexpr Duration ListIdleTimeout = std::chrono::seconds(5);
 
 }
@@ -106,7 +106,7 @@
     for (const v1::PlacementVm &vm : fleet.placement_vms()) {
         m_listReader.addDataCentre(DataCentreName{vm.data_centre()});
     }
-    // Without datagrams a VM can ask nobody else.
+    // Without datagrams a VM can only place its own requests.
     if (m_socket) {
         m_client.setCandidates(fleet);
     }
@@ -119,7 +119,7 @@
 
 void PlacementHost::announce()
 {
-    // Before the other VMs are known this one would take itself for the server, and read the list with all others that start.
+    // Before the other VMs are known, this VM would take itself for the placement server, and read the list along with all other starting VMs.
     if (!m_socket || !m_client.rankedServers().empty()) {
         scheduleState();
     }
@@ -286,8 +286,8 @@
         return;
     }
     m_lastNoticeAt = EventLoop::now();
-    // A VM that is asked in another one's place hears of the others as often as they do: by notices for backups alone, ten times as rare, it gave
-    // out places and limits that were long gone.
+    // A VM that substitutes for another placement server gets notices as often as that one would. With backup notices alone, a tenth as often, it
+    // granted slots and admitted requests that had long been used up elsewhere.
     const std::vector<VmName> active = m_server.activePeers(EventLoop::now());
     std::set<VmName> receivers(active.begin(), active.end());
     for (const auto &[dataCentre, vms] : m_client.rankedServers()) {
--- a/src/proxy/placementhost.h
+++ b/src/proxy/placementhost.h
@@ -17,30 +17,31 @@
     VmName vm;
     DataCentreName dataCentre;
     std::uint64_t incarnation = 0;
-    /// Where datagrams come in and, on other VMs, go to. Without it every VM places its own requests.
+    /// Address where datagrams are received; other VMs use the same port. Without it every VM places its own requests.
     std::optional<Address> datagrams;
     /// Tokens (or requests) that may be admitted beyond each organisation's limit.
     std::uint64_t limitTolerance = 0;
     InstanceListProtocol list;
-    /// Between two readings of the platform's list, while this VM places requests.
+    /// Time between two reads of the platform's list, while this VM acts as placement server.
     Duration listInterval = std::chrono::seconds(1);
 };
 
-/// Placement on an entry VM's loop: its own requests, asked for where the data centre's are placed, and the requests of other VMs when they
-/// ask this one. Only a VM that is asked reads the platform's list, so its readers grow with the data centres, not with the VMs.
+/// Runs placement on an entry VM's loop: sends the VM's own placement requests to its data centre's placement server, and acts as placement server
+/// when other VMs use this one. Only a placement server reads the platform's list, so the number of readers grows with the data centres, not with the
+/// VMs.
 class PlacementHost
 {
 public:
-    /// Error: Unavailable, when the datagrams' address can't be bound.
+    /// Error: Unavailable, if the address for datagrams can't be bound.
     static Result<std::unique_ptr<PlacementHost>> open(EventLoop &loop, PlacementHostOptions options);
 
-    /// Answered by granted or refused, unless it is ended before.
+    /// Answered by granted() or refused(), unless ended() is called before.
     PlacementId requestPlacement(SlotRequest wish);
     /// See PlacementClient.
     void recordFirstEvent(PlacementId id, Duration after);
     void recordEarlyPace(PlacementId id, double paceMs);
     void ended(PlacementId id, v1::PlacementOutcome outcome, const AnswerPace &pace);
-    /// Emitted for what was asked for here.
+    /// Emitted for the requests of this VM.
     sigc::signal<void, const PlacementGranted &> &granted()
     {
         return m_granted;
@@ -52,10 +53,10 @@
 
     void setFleet(const v1::FleetTally &fleet);
     void setRoutes(const v1::RouteTable &routes);
-    /// Other VMs count on being told of this one, also while it has nothing under way.
+    /// Sends the state of this VM even if it has no requests: placement servers derive their coverage from the VMs that they know.
     void announce();
     void setRollouts(const std::map<std::string, v1::Rollout> &rollouts);
-    /// From now on other VMs are told to ask elsewhere.
+    /// From now on replies tell other VMs to use another server.
     void startLeaving();
 
 private:
@@ -81,7 +82,7 @@
     PlacementClient m_client;
     PlacementServer m_server;
     InstanceListReader m_listReader;
-    /// When some VM had something here last.
+    /// When any VM last had requests here.
     TimePoint m_lastUsedAt{};
     bool m_isReadingList = false;
     bool m_leaving = false;
--- a/src/proxy/proxyanswers.cpp
+++ b/src/proxy/proxyanswers.cpp
@@ -1,4 +1,4 @@
-// A sending, its answer, and what the caller gets: the proxy task's part from the upstream's connection back to the caller's.
+// ProxyTask: attempts at upstreams, and the answers to callers.
 
 #include "proxy/proxytask.h"
 
@@ -14,22 +14,22 @@
 namespace
 {
 
-/// A connection within one region is there in a few milliseconds, or the upstream is dark.
+/// A connection within a region is established in a few milliseconds, or the upstream is unreachable.
 constexpr Duration ConnectTimeout = std::chrono::milliseconds(300);
-/// A stream that another upstream may go on with is taken from one that is silent for so long.
+/// After this time without data, a stream that another upstream can resume is taken from its upstream.
 constexpr Duration ResumeTimeout = std::chrono::milliseconds(1200);
-/// A plain answer over this size is passed on as it comes, without waiting for its end.
+/// A larger plain answer is forwarded as it arrives, without waiting for its end.
 constexpr std::size_t MaxBufferedBytes = 256 << 10;
 constexpr Duration RetryAfterRefusal = std::chrono::milliseconds(200);
-/// So many events show how fast an upstream works.
+/// Number of events from which an upstream's pace is measured.
 constexpr std::uint32_t EventsForPace = 4;
 constexpr int FirstSuccess = 200;
 constexpr int FirstRedirect = 300;
 constexpr int FirstServerError = 500;
-/// What a caller has not read yet, above which its upstream is not read either.
+/// When a caller has this many bytes unread, reading from its upstream is paused.
 constexpr std::size_t MaxUnreadBytes = 256 << 10;
 
-/// Headers that concern one connection only (RFC 9110, 7.6.1), and the framing, which is made anew on each.
+/// Headers that concern a single connection (RFC 9110, 7.6.1), and the framing, which is created anew for each connection.
 constexpr std::array<std::string_view, 10>
     HopHeaders{"connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade", "content-length", "host", "expect"};
 
@@ -56,7 +56,7 @@
     return nullptr;
 }
 
-/// Between the events of a stream so far, or to a plain answer's end; nothing when a stream was too short to tell.
+/// Pace between the events of a stream so far, or until the end of a plain answer; 0 for a stream of fewer than two batches of events.
 AnswerPace paceOf(const ProxyRequest &request, TimePoint now)
 {
     if (request.eventBatches > 1) {
@@ -97,7 +97,7 @@
     return headers;
 }
 
-/// Silence ends a sending early only where another upstream may go on; elsewhere the request's own time limit does.
+/// Aborts an attempt that makes no progress early only if another upstream can resume the stream; otherwise the request's own deadline applies.
 ProgressTimeouts ProxyTask::timeoutsFor(const ProxyRequest &request, TimePoint now) const
 {
     const Duration left = std::max<Duration>(request.parsed.deadline - now, std::chrono::milliseconds(1)) + std::chrono::seconds(1);
@@ -144,7 +144,7 @@
     request.call->start();
 }
 
-/// Gives the place back, or stops waiting for one. The call's signals may be under way, so it is cancelled here and destroyed from the loop.
+/// Releases the slot, or cancels the placement request. The call's signals may still be running, so it is cancelled here and destroyed from the loop.
 void ProxyTask::endCall(ProxyRequest &request, v1::PlacementOutcome outcome, const AnswerPace &pace)
 {
     if (m_requestsByPlacement.erase(request.placementId) > 0) {
@@ -161,8 +161,8 @@
     return head.status == StatusMisdirected || headerOf(head, m_options.headers.notRun);
 }
 
-/// An answer without the request's id, or a success without proof of its maker, belongs to somebody else or was made on the way: passed
-/// on, a caller would take it for its own.
+/// Whether the answer was made by the upstream for this request. An answer without the request's id, or a success without proof of its origin,
+/// belongs to another request or was made by an intermediary; if it were forwarded, the caller would take it for its own.
 bool ProxyTask::isAnswerToRequest(const ProxyRequest &request, const AnswerHead &head) const
 {
     const std::string *echoed = headerOf(head, m_options.headers.requestId);
@@ -197,7 +197,7 @@
     counts.heads += 1;
     const bool success = head.status >= FirstSuccess && head.status < FirstRedirect;
     if (request->headForwarded && !success) {
-        // The stream can't be gone on with, and the caller has the first upstream's head already.
+        // The stream can't be resumed, and the caller already has the first upstream's head.
         handleAttemptEnd(*request, AttemptEnd::Lost, v1::PLACEMENT_CANCELLED);
         return;
     }
@@ -262,7 +262,7 @@
         return;
     }
     if (request->eventSplitter.hasPartial()) {
-        // The upstream ended in order in the middle of an event: it is not whole.
+        // The upstream ended the stream in order but within an event, so the stream is incomplete.
         onCallFailed(localId, CallFailure::Lost);
         return;
     }
@@ -314,14 +314,14 @@
         step = request.attempts.finalStep(end);
     }
     if (request.headForwarded) {
-        replyFailure(request, ErrorKind::OutcomeUnknown, "the stream broke off");
+        replyFailure(request, ErrorKind::OutcomeUnknown, "the stream ended before it was complete");
     } else if (step == NextStep::RefuseNotRun) {
-        replyRefusal(request, ErrorKind::Unavailable, "the upstreams are full or out of reach", RetryAfterRefusal);
+        replyRefusal(request, ErrorKind::Unavailable, "all upstreams are full or unreachable", RetryAfterRefusal);
     } else if (step == NextStep::ForwardFailure) {
         forwardWholeAnswer(request);
         finish(request, "upstream-failed", std::to_string(request.answerHead.status));
     } else {
-        replyFailure(request, ErrorKind::OutcomeUnknown, "the upstream's answer was lost");
+        replyFailure(request, ErrorKind::OutcomeUnknown, "the connection to the upstream was lost before the answer was complete");
     }
 }
 
@@ -400,13 +400,13 @@
         return;
     }
     if (!request->attempts.mayHaveRun()) {
-        replyRefusal(*request, ErrorKind::Unavailable, "its time was over before an upstream had room", RetryAfterRefusal);
+        replyRefusal(*request, ErrorKind::Unavailable, "the deadline passed before an upstream had a free slot", RetryAfterRefusal);
         return;
     }
     if (request->call) {
         countAnswer(*request, false);
     }
-    replyFailure(*request, ErrorKind::DeadlinePassed, "its time is over");
+    replyFailure(*request, ErrorKind::DeadlinePassed, "the request's deadline has passed");
 }
 
 }
--- a/src/proxy/proxyplacement.cpp
+++ b/src/proxy/proxyplacement.cpp
@@ -1,4 +1,4 @@
-// How a request gets its place at an upstream: the proxy task's part between admission and sending.
+// ProxyTask: placement of requests, between admission and sending.
 
 #include "proxy/proxytask.h"
 
@@ -25,7 +25,7 @@
         .deadline = order.deadline,
         .rolloutPermille = static_cast<std::uint32_t>(checksum(order.id.value) % WholePermille),
         .tried = request.tried,
-        // A further try of a request is not charged again.
+        // Further attempts of a request are not charged.
         .organisation = request.tried.empty() ? order.organisation : OrganisationName{},
         .cost = order.cost,
         .maxPauseMs = order.route->pause_objective_ms(),
@@ -34,8 +34,8 @@
     m_requestsByPlacement[request.placementId] = request.localId;
 }
 
-/// A request of an organisation over its limit is refused here, without asking, while nothing of it can pass: one that sends several times
-/// its limit would use up the placement server's processor with requests that are refused.
+/// Refuses a request of an organisation over its limit here, without a placement request, while none of its requests can be admitted: an organisation
+/// that sends several times its limit would use up the placement server's CPU with requests that are refused anyway.
 void ProxyTask::requestPlacementOrRefuse(ProxyRequest &request, TimePoint now)
 {
     const auto closed = m_exhaustedLimits.find(request.parsed.organisation);
@@ -69,13 +69,13 @@
         return;
     }
     if (request->attempts.mayHaveRun()) {
-        replyFailure(*request, ErrorKind::OutcomeUnknown, "no upstream had room for another try");
+        replyFailure(*request, ErrorKind::OutcomeUnknown, "no upstream had a free slot for another attempt");
     } else if (refused.overLimit) {
         ExhaustedLimit &limit = m_exhaustedLimits[request->parsed.organisation];
         limit = ExhaustedLimit{.until = EventLoop::now() + refused.timeUntilOpen, .retryAfter = refused.retryAfter, .inputs = refused.inputs};
         refuseOverLimit(*request, limit);
     } else {
-        replyRefusal(*request, ErrorKind::Unavailable, "no upstream had room in time", refused.retryAfter);
+        replyRefusal(*request, ErrorKind::Unavailable, "no upstream had a free slot in time", refused.retryAfter);
     }
 }
 
--- a/src/proxy/proxyrequest.h
+++ b/src/proxy/proxyrequest.h
@@ -16,7 +16,7 @@
 namespace cumindyke
 {
 
-/// What a caller asked for, read and checked.
+/// A caller's request, parsed and validated.
 struct ParsedRequest
 {
     RequestId id;
@@ -27,20 +27,20 @@
     /// Empty on a route that is open to all.
     OrganisationName organisation;
     PriorityRank rank;
-    /// Prompt tokens to read; 0: a plain request.
+    /// Prompt tokens; 0: a plain request.
     std::uint32_t promptTokens = 0;
-    /// Events that the answer of a model engine is likely to have; 0: not known.
+    /// Expected number of events in a model engine's answer; 0: unknown.
     std::uint32_t expectedEvents = 0;
-    /// What it takes of its organisation's limit.
+    /// Charged on the organisation's limit, in tokens or requests.
     std::uint64_t cost = 0;
     TimePoint arrived;
-    /// The caller's deadline or the route's timeout, whichever comes first.
+    /// The caller's deadline or the route's timeout, whichever is earlier.
     TimePoint deadline;
     /// Until when an answer (a stream's first event) is on time.
     TimePoint objectiveAt;
 };
 
-/// One caller's request from its admission to its end: where it is, and what was sent.
+/// The state of one caller's request during its lifecycle, from admission to the final answer.
 struct ProxyRequest
 {
     ProxyRequest(LocalRequestId localId, ParsedRequest parsedRequest, std::shared_ptr<Exchange> caller)
@@ -65,27 +65,27 @@
     std::shared_ptr<Exchange> exchange;
     Attempts attempts;
     std::set<InstanceName> tried;
-    /// Of the try under way.
+    /// Of the current attempt.
     PlacementId placementId{};
-    /// Who placed it wants to hear how fast the upstream makes the first events.
+    /// The placement server wants the pace of the first events to be reported.
     bool paceWanted = false;
 
-    /// The sending under way; null while it waits.
+    /// The current call to the upstream; null while the request waits for a slot.
     std::unique_ptr<UpstreamCall> call;
     UpstreamInstance upstream;
     TimePoint sentAt;
     AnswerHead answerHead;
-    /// The answer's body while it is gathered, until it is known to be whole.
+    /// The answer's body, buffered until it is known to be complete.
     std::string bufferedBody;
-    /// The caller has the head of the answer: it can no longer be changed.
+    /// The answer's head was sent to the caller and can no longer be changed.
     bool headForwarded = false;
     EventSplitter eventSplitter;
-    /// For the pace of the upstream.
+    /// Measure the pace of the upstream.
     TimePoint firstEventAt;
     TimePoint lastEventAt;
     std::uint32_t eventBatches = 0;
     Duration longestPause{};
-    /// Fires at deadline.
+    /// Fires at the deadline.
     std::unique_ptr<Timer> deadlineTimer;
 };
 
--- a/src/proxy/proxytask.cpp
+++ b/src/proxy/proxytask.cpp
@@ -10,14 +10,14 @@
 namespace
 {
 
-/// While the VM shuts down, whether it is done is looked at so often.
+/// Interval of checks whether a shutdown is complete.
 constexpr Duration DrainCheckInterval = std::chrono::milliseconds(20);
-/// A little more often than the beats that take it along.
+/// Slightly shorter than the interval of the heartbeats that carry the tally.
 constexpr Duration TallyInterval = std::chrono::milliseconds(400);
 constexpr Duration RetryAfterNotReady = std::chrono::milliseconds(500);
-/// A common restart of everything takes about this long from the first process's start to the last lease.
+/// A simultaneous restart of all processes takes about this long from the first process's start to the last lease.
 constexpr Duration MaxHoldTime = std::chrono::milliseconds(400);
-/// A few seconds of requests of a busy VM.
+/// A few seconds' requests of a busy VM.
 constexpr std::size_t MaxHeldRequests = 500;
 
 std::string milliseconds(Duration duration)
@@ -90,7 +90,7 @@
 
 void ProxyTask::start()
 {
-    // At once, so that the first lease already names who places requests.
+    // Sent at once, so that the first lease already names the VMs that place requests.
     sendTally();
     m_tallyTimer.startEvery(TallyInterval);
     m_thread = std::thread([this] { m_loop.run(); });
@@ -178,15 +178,15 @@
 
 void ProxyTask::refuseNotReady(Exchange &exchange)
 {
-    const char *reason = m_drain ? "this VM shuts down: try another" : "this VM has no configuration in force: try another";
+    const char *reason = m_drain ? "this VM is shutting down: try another" : "this VM has no configuration in force: try another";
     const RequestId id{exchange.header(m_options.headers.requestId.c_str())};
-    // The other VMs go on while this one shuts down: a wait would only make the answer late.
+    // The other VMs keep serving while this one shuts down: a wait would only make the answer late.
     const Duration retryAfter = m_drain ? Duration::zero() : RetryAfterNotReady;
     refuse(exchange, id, Refusal{.error = Error{ErrorKind::Unavailable, reason}, .retryAfter = retryAfter});
 }
 
-/// A process that has just started has its first lease within some tenths of a second. When all of them start at once, a refusal would
-/// send every caller away for longer than that, and to VMs that are no further.
+/// Holds a request that arrives before the first lease. A process that has just started gets its lease within some tenths of a second. When all
+/// processes start at once, a refusal would send every caller away for longer than that, and to VMs that are not ready either.
 void ProxyTask::holdRequest(const std::shared_ptr<Exchange> &exchange, TimePoint now)
 {
     const std::uint64_t key = m_nextLocalId++;
@@ -201,7 +201,7 @@
     m_holdTimer.startOnceIfStopped(MaxHoldTime);
 }
 
-/// All of them, when the VM is ready; else those that have waited long enough are refused.
+/// Admits all held requests if the VM is ready; otherwise refuses those that were held for MaxHoldTime.
 void ProxyTask::releaseHeldRequests()
 {
     const TimePoint now = EventLoop::now();
--- a/src/proxy/proxytask.h
+++ b/src/proxy/proxytask.h
@@ -25,30 +25,30 @@
 {
     VmName vm;
     DataCentreName dataCentre;
-    /// For callers.
+    /// Where callers connect.
     Address address;
-    /// For the balancer, and for metrics.
+    /// Where the load balancer queries readiness, and metrics are served.
     Address readinessAddress;
     std::string readinessPath;
     ProxyHeaders headers;
     InstanceListProtocol list;
-    /// Between two readings of the platform's list.
+    /// Time between two reads of the platform's list.
     Duration listInterval = std::chrono::seconds(1);
-    /// The longest that a caller may take to send one request.
+    /// Maximum time that a caller may take to send one request.
     Duration requestReadLimit = std::chrono::seconds(30);
-    /// After a graceful shutdown began, how long requests are still taken: the balancer has moved on after two missed questions a second apart,
-    /// and what comes later on an open connection may not end before the process is killed.
+    /// How long requests are still admitted after a graceful shutdown began: the balancer stops sending them after two failed readiness queries a
+    /// second apart, and a request that arrives later on an open connection may not finish before the process is killed.
     Duration balancerDetectionTime = std::chrono::milliseconds(2800);
-    /// The process stays this much longer, to refuse what still comes instead of breaking it off.
+    /// How much longer the process runs to refuse late requests instead of resetting their connections.
     Duration refusalTime = std::chrono::milliseconds(700);
-    /// Where VMs ask each other for places at upstreams: an address for datagrams, the same port on all. Without it each places its own.
+    /// Address of the placement datagrams; all VMs use the same port. Without it each VM places its own requests.
     std::optional<Address> datagrams;
-    /// What organisations may be admitted beyond their limits over all VMs, in the limits' units.
+    /// Tokens (or requests) that organisations may be admitted beyond their limits over all VMs.
     std::uint64_t limitTolerance = 0;
     std::function<void(v1::EntryTally)> sendTally;
 };
 
-/// A graceful shutdown begins; drained is called from the task's thread when the last request has ended.
+/// Begins a graceful shutdown. "drained" is called from the task's thread when the last request has ended.
 struct ProxyDrain
 {
     std::function<void()> drained;
@@ -56,7 +56,8 @@
 
 using ProxyMessage = std::variant<Configuration, ProxyDrain>;
 
-/// Takes callers' requests, passes them on to upstreams and the answers back, unchanged. Owns all sockets of that; other tasks post().
+/// The reverse proxy of an entry VM: forwards callers' requests to upstreams and the answers back, unchanged. Owns all sockets that this needs; other
+/// tasks use post().
 class ProxyTask
 {
 public:
@@ -76,7 +77,7 @@
         std::shared_ptr<Exchange> exchange;
         TimePoint arrived;
     };
-    /// Of an organisation over its limit: until when nothing of it can pass, and what callers are told.
+    /// An organisation over its limit: until when none of its requests can be admitted, and what callers are told meanwhile.
     struct ExhaustedLimit
     {
         TimePoint until;
@@ -115,7 +116,7 @@
     void onRefused(const PlacementRefused &refused);
     void refuseOverLimit(ProxyRequest &request, const ExhaustedLimit &limit);
 
-    // A sending and its answer.
+    // Attempts and their answers.
     void send(ProxyRequest &request, const UpstreamInstance &to, const std::string &inputs, TimePoint now);
     HeaderList headersFor(const ProxyRequest &request, const UpstreamInstance &to, TimePoint now) const;
     ProgressTimeouts timeoutsFor(const ProxyRequest &request, TimePoint now) const;
@@ -150,7 +151,7 @@
     EventLoop m_loop;
     Mailbox<ProxyMessage> m_mailbox;
     Metrics &m_metrics;
-    /// Tells this process's messages from those of the process before it.
+    /// Distinguishes this process's messages from those of its predecessor.
     const std::uint64_t m_incarnation;
     std::unique_ptr<FrontDoor> m_callerDoor;
     std::unique_ptr<FrontDoor> m_readinessDoor;
@@ -159,18 +160,18 @@
     std::map<std::string, v1::Rollout> m_rollouts;
     TimePoint m_admitUntil{};
     std::shared_ptr<const v1::FleetTally> m_fleet;
-    /// Requests that came before the process had its first lease.
+    /// Requests that arrived before the process had its first lease.
     std::map<std::uint64_t, HeldRequest> m_heldRequests;
     bool m_wasReady = false;
     Timer m_holdTimer;
     std::map<OrganisationName, ExhaustedLimit> m_exhaustedLimits;
     std::map<ServiceName, RetryBudget> m_retryBudgets;
-    /// Requests by the places they wait for or have.
+    /// Requests by the ids of their placement requests.
     std::map<PlacementId, LocalRequestId> m_requestsByPlacement;
     std::map<std::pair<std::string, std::string>, VersionCount> m_versionCounts;
     std::map<LocalRequestId, std::unique_ptr<ProxyRequest>> m_requests;
     std::uint64_t m_nextLocalId = 1;
-    /// Ended requests: their signals may be under way, so they are destroyed from the loop.
+    /// Ended requests. Their signals may still be running, so they are destroyed from the loop.
     std::vector<std::unique_ptr<ProxyRequest>> m_endedRequests;
     std::vector<std::shared_ptr<Exchange>> m_exchangesToAbort;
     Timer m_cleanUpTimer;
--- a/src/proxy/proxytypes.h
+++ b/src/proxy/proxytypes.h
@@ -11,61 +11,61 @@
 #include <string_view>
 #include <vector>
 
-/// Opaque pass-through: callers' requests go by host and path to the upstreams of a service, unchanged.
+/// The reverse proxy: forwards callers' requests unchanged to the upstreams of the service that host and path select.
 namespace cumindyke
 {
 
-/// Handle of a request of this VM.
+/// Identifies a request within this process.
 using LocalRequestId = Strong<struct LocalRequestIdTag, std::uint64_t>;
 
 /// One page of the platform's list.
 struct InstancePage
 {
     std::vector<UpstreamInstance> instances;
-    /// Entries that could not be read or name no usable upstream.
+    /// Entries that could not be parsed or do not name a usable upstream.
     std::size_t rejectedCount = 0;
-    /// Asks for the page that follows; empty on the last one.
+    /// Token of the next page; empty on the last page.
     std::string nextPageToken;
 };
 
-/// How the platform's list is asked for and read.
+/// How the platform's list is requested and parsed.
 struct InstanceListProtocol
 {
     Address address;
-    /// Path and query of a page of the whole list, or of one data centre's part; the first has no token.
+    /// Path and query of a page of the whole list, or of one data centre's part. The token of the first page is empty.
     std::function<std::string(const std::optional<DataCentreName> &dataCentre, std::string_view pageToken)> target;
-    /// Error: Invalid, when the whole page can't be read.
+    /// Error: Invalid, if the page as a whole can't be parsed.
     std::function<Result<InstancePage>(std::string_view body)> parse;
 };
 
-/// What the headers of callers and upstreams are called on this platform.
+/// Names of the headers on this platform.
 struct ProxyHeaders
 {
-    /// Made by the caller, one for each of its attempts; echoed by the upstream.
+    /// Id of the request, created by the caller anew for each of its attempts; echoed by the upstream.
     std::string requestId;
-    /// Milliseconds that the caller, or this system, goes on waiting.
+    /// Milliseconds until the caller, or this system, stops waiting.
     std::string deadlineMs;
-    /// The caller's API key; never passed on.
+    /// The caller's API key; never forwarded.
     std::string apiKey;
-    /// Name of the organisation that holds the key; set by this system only.
+    /// Name of the organisation that the key belongs to; only set by this system.
     std::string organisation;
-    /// Name of the upstream process that may run the request; set by this system only.
+    /// Name of the upstream process that may run the request; only set by this system.
     std::string expectedInstance;
-    /// On an answer: an upstream's proof that it made it. A success without it was made by something else.
+    /// On an answer: proof that the upstream made it. A success without it was made by something else.
     std::string answerProof;
     /// On an answer: the upstream did not run the request.
     std::string notRun;
-    /// "PROMPT,MOST OUTPUT" in tokens.
+    /// "PROMPT,MAXIMUM OUTPUT" in tokens.
     std::string tokenCounts;
-    /// Tokens that the caller expects in the answer.
+    /// Number of tokens that the caller expects in the answer.
     std::string expectedTokens;
-    /// Id of the last event that the caller has of a stream.
+    /// Id of the last event of a stream that the caller has received.
     std::string lastEventId;
-    /// Headers that only this system may set towards upstreams; dropped when a caller sends them.
+    /// Headers to upstreams that only this system may set; dropped from callers' requests.
     std::vector<std::string> reserved;
 };
 
-/// Status of an upstream that got a request meant for another process at its address.
+/// Status of an upstream that received a request meant for another process at its address.
 constexpr int StatusMisdirected = 421;
 
 }
--- a/src/proxy/requestparser.cpp
+++ b/src/proxy/requestparser.cpp
@@ -11,11 +11,11 @@
 namespace
 {
 
-/// A caller that names no deadline waits for as long as the route allows.
+/// Used for callers that give no deadline, which wait for as long as the route allows.
 constexpr std::int64_t MaxDeadlineMs = 3'600'000;
 /// More than any engine's memory holds.
 constexpr std::uint64_t MaxPromptTokens = 100'000'000;
-/// Ranks of organisations are this far apart, so that a route's priority orders only within an organisation's.
+/// Number of ranks per organisation priority: a route's priority orders requests only within the organisation's priority.
 constexpr std::uint32_t RanksPerOrganisation = 1'000;
 
 std::optional<std::uint64_t> parseNumber(std::string_view text)
@@ -39,8 +39,9 @@
     return static_cast<std::size_t>(std::ranges::count_if(headers, hasName));
 }
 
-/// Two ways to say where the body ends, or which host is meant, let a caller hide a second request inside the first one's body: an upstream that reads the
-/// other way runs it, with this system's headers missing; or it runs the request under another route's rules. Such a request is refused whole.
+/// Whether the request states the length of its body, or its host, more than once. This would let a caller smuggle a second request in the body of
+/// the first: an upstream that interprets the length differently runs it without this system's headers, or it runs the request under another route's
+/// rules.
 bool isAmbiguous(const Exchange &exchange)
 {
     const std::size_t lengthHeaders = headerCount(exchange, "content-length");
@@ -54,7 +55,7 @@
     std::uint64_t maxOutput = 0;
 };
 
-/// None on a plain request, and when the header can't be read.
+/// Returns nothing for a plain request or if the header can't be parsed.
 std::optional<TokenCounts> tokenCountsOf(const Exchange &exchange, const ProxyHeaders &headers)
 {
     const std::string counts = exchange.header(headers.tokenCounts.c_str());
@@ -67,7 +68,7 @@
     return prompt && output ? std::optional(TokenCounts{*prompt, *output}) : std::nullopt;
 }
 
-/// The caller's expectation, and no more than what it allows; without one, half of what it allows.
+/// Number of events the caller expects, limited by the maximum output that it allows; without an expectation, half of that maximum.
 std::uint32_t expectedEventsOf(const Exchange &exchange, const ProxyHeaders &headers, const TokenCounts &tokens, const v1::RoutedService *service)
 {
     const std::uint64_t maxTokens = std::min(tokens.maxOutput, MaxPromptTokens);
@@ -84,7 +85,7 @@
     return tokens ? tokens->prompt + tokens->maxOutput : organisation.tokens_of_plain_request();
 }
 
-/// The same for all attempts of one request, so that the services of a split get their parts.
+/// Selects the service by a hash of the request's id: the same for all attempts of a request, and in proportion to the weights.
 ServiceName serviceOf(const v1::Route &route, const RequestId &id)
 {
     std::uint64_t totalWeight = 0;
@@ -117,7 +118,7 @@
                           .arrived = arrived,
                           .deadline = {}};
     if (request.id.value.empty()) {
-        return makeRefusal(ErrorKind::BadRequest, "the header " + headers.requestId + " is missing: send an id of your own with each try");
+        return makeRefusal(ErrorKind::BadRequest, "the header " + headers.requestId + " is missing: send a new id with each attempt");
     }
     request.route = routes->find(exchange.header("Host"), exchange.path());
     if (!request.route) {
@@ -143,7 +144,7 @@
     }
     const v1::RoutedOrganisation *holder = routes->organisationOfKey(exchange.header(headers.apiKey.c_str()));
     if (!holder) {
-        return makeRefusal(ErrorKind::Unauthorised, "no organisation holds the key in " + headers.apiKey + ": check the key");
+        return makeRefusal(ErrorKind::Unauthorised, "no organisation owns the key in " + headers.apiKey + ": check the key");
     }
     request.organisation = OrganisationName{holder->name()};
     request.rank = PriorityRank{holder->priority() * RanksPerOrganisation + request.rank.value};
--- a/src/proxy/requestparser.h
+++ b/src/proxy/requestparser.h
@@ -8,16 +8,16 @@
 namespace cumindyke
 {
 
-/// Why a request is answered at once.
+/// The reason why a request is refused without being placed.
 struct Refusal
 {
     Error error;
-    /// When a later try may pass; none: it won't.
+    /// When a retry may succeed; none: it won't.
     std::optional<Duration> retryAfter;
 };
 
-/// Reads and checks a caller's request against the routes in force. The refusal's kinds: BadRequest, NotFound (no route), Unauthorised (no
-/// organisation holds the key). Its times count from the arrival.
+/// Parses and validates a caller's request against the routes in force. Errors of a refusal: BadRequest, NotFound (no route), Unauthorised (the key
+/// belongs to no organisation). The request's times count from its arrival.
 std::variant<ParsedRequest, Refusal>
 parseRequest(const Exchange &exchange, const ProxyHeaders &headers, const std::shared_ptr<const RouteIndex> &routes, TimePoint arrived);
 
--- a/src/proxy/retrybudget.h
+++ b/src/proxy/retrybudget.h
@@ -7,8 +7,8 @@
 namespace cumindyke
 {
 
-/// This VM's allowance of repeated sendings to one service, so that a service in trouble isn't met with several times its usual load.
-/// Each first sending earns a part of a repeat; a few may be spent ahead.
+/// This VM's budget of retries to one service, so that a failing service is not sent a multiple of its usual load. Each first attempt earns a
+/// fraction of a retry; a few retries may be saved up.
 class RetryBudget
 {
 public:
@@ -26,7 +26,7 @@
     }
 
 private:
-    /// Repeats per request that the service's operators allow over all VMs are 0.2 with a slack besides; this stays below both.
+    /// The service's operators allow 0.2 retries per request over all VMs, plus a slack; this stays below both.
     static constexpr double RetriesPerRequest = 0.17;
     static constexpr double MaxAvailable = 4;
     double m_available = 2;
--- a/src/proxy/routeindex.cpp
+++ b/src/proxy/routeindex.cpp
@@ -31,12 +31,12 @@
         return invalid(where + "the path prefix must begin and end with a slash");
     }
     if (route.timeout_ms() == 0) {
-        return invalid(where + "the timeout is 0: give it some milliseconds");
+        return invalid(where + "the timeout is 0: set it to at least 1 ms");
     }
     std::uint64_t totalWeight = 0;
     for (const v1::WeightedService &weighted : route.services()) {
         if (!services.contains(weighted.service())) {
-            return invalid(where + "there is no service '" + weighted.service() + "': add it or mend the name");
+            return invalid(where + "there is no service '" + weighted.service() + "': add it or correct the name");
         }
         totalWeight += weighted.weight();
     }
@@ -93,7 +93,7 @@
 
 const v1::Route *RouteIndex::find(std::string_view host, std::string_view path) const
 {
-    // Every prefix ends with a slash, so only the parts up to a slash can match; the longest comes first.
+    // Every prefix ends with a slash, so only the parts of the path up to a slash can match; the longest is tested first.
     for (std::size_t slash = path.rfind('/'); slash != std::string_view::npos; slash = slash == 0 ? std::string_view::npos : path.rfind('/', slash - 1)) {
         const auto found = m_routes.find(routeKey(host, path.substr(0, slash + 1)));
         if (found != m_routes.end()) {
--- a/tests/proxy/attemptstest.cpp
+++ b/tests/proxy/attemptstest.cpp
@@ -4,8 +4,8 @@
 
 using namespace cumindyke;
 
-// What the caller sees: a deposit is charged twice. Its upstream ran it and the answer was lost on the way; sent once more, it ran again.
-TEST_CASE("a request that must not be repeated is given up once it may have run")
+// Guards against a deposit that is charged twice: its upstream ran it, the answer was lost, and a second attempt ran it again.
+TEST_CASE("a request that must not be repeated is not retried once it may have run")
 {
     const v1::RouteKind kind = GENERATE(v1::NON_IDEMPOTENT, v1::STREAMING);
     Attempts attempts(kind, 3);
@@ -15,9 +15,9 @@
     CHECK(attempts.mayHaveRun());
 }
 
-// What the caller sees: "not run, try again" of a deposit that did run, so it pays twice by doing as it was told. Of two upstreams the
-// first lost its answer; the second refused, which says nothing about the first.
-TEST_CASE("not run is said only when no sending may have run")
+// Guards against "not run, try again" for a deposit that did run, so that the caller pays twice. Of two upstreams the first one's answer was lost;
+// the second refused the request, which proves nothing about the first.
+TEST_CASE("not run is reported only when no attempt may have run")
 {
     Attempts attempts(v1::IDEMPOTENT, 2);
     attempts.recordStart();
@@ -27,7 +27,7 @@
     CHECK(attempts.mayHaveRun());
 }
 
-TEST_CASE("a sending that was refused unrun may be tried elsewhere as often as the route allows")
+TEST_CASE("a request that was refused without running is retried as often as the route allows")
 {
     Attempts attempts(v1::NON_IDEMPOTENT, 2);
     attempts.recordStart();
@@ -37,7 +37,7 @@
     CHECK_FALSE(attempts.mayHaveRun());
 }
 
-TEST_CASE("an upstream's own failure is passed on when there is no further attempt")
+TEST_CASE("an upstream's own failure is forwarded when there is no further attempt")
 {
     Attempts once(v1::NON_IDEMPOTENT, 1);
     once.recordStart();
@@ -49,9 +49,9 @@
     CHECK(twice.recordEnd(AttemptEnd::RanAndFailed) == NextStep::ForwardFailure);
 }
 
-// What the caller sees: a refusal although other upstreams were free. The one that was chosen had just gone; no byte of the request left this
-// process, so it counts as no attempt.
-TEST_CASE("an upstream that was never reached uses up no attempt but not without end")
+// Guards against a refusal although other upstreams were free. The chosen upstream had just shut down; no byte of the request left this process, so
+// it counts as no attempt.
+TEST_CASE("an unreachable upstream uses up no attempt, up to a limit")
 {
     Attempts attempts(v1::NON_IDEMPOTENT, 1);
     for (int unreachable = 0; unreachable < 2; ++unreachable) {
--- a/tests/proxy/eventsplittertest.cpp
+++ b/tests/proxy/eventsplittertest.cpp
@@ -4,7 +4,7 @@
 
 using namespace cumindyke;
 
-TEST_CASE("only whole events pass and their bytes stay as they are")
+TEST_CASE("only whole events are returned, with their bytes unchanged")
 {
     EventSplitter splitter;
     CHECK(splitter.extractWholeEvents("id: 1\ndata: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
@@ -16,9 +16,9 @@
     CHECK_FALSE(splitter.hasPartial());
 }
 
-// What the caller sees: half an event, then the rest of another one. The upstream was lost in the middle of event 2, and another goes on
-// after event 1 with the whole of event 2.
-TEST_CASE("a part of an event is forgotten before another upstream goes on")
+// Guards against half an event followed by the rest of another. The upstream failed within event 2, and another upstream resumes after event 1 with
+// the whole of event 2.
+TEST_CASE("a partial event is discarded before another upstream resumes")
 {
     EventSplitter splitter;
     splitter.extractWholeEvents("id: 1\ndata: a\n\nid: 2\ndata: ha");
@@ -26,7 +26,7 @@
     CHECK(splitter.extractWholeEvents("id: 2\ndata: half\n\n") == "id: 2\ndata: half\n\n");
 }
 
-TEST_CASE("events may end their lines with a return as well")
+TEST_CASE("lines of events may end with CRLF")
 {
     EventSplitter splitter;
     CHECK(splitter.extractWholeEvents("id: 7\r\ndata: a\r\n\r\nid") == "id: 7\r\ndata: a\r\n\r\n");
--- a/tests/proxy/instancelistreadertest.cpp
+++ b/tests/proxy/instancelistreadertest.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// A list on loopback: each page is one upstream, "dc-a" and "dc-b" by turns; refuses pages as it is told to.
+/// Serves a list on loopback: each page is one upstream, alternately in "dc-a" and "dc-b". Refuses the pages in refusedOncePaths once.
 class PagedList
 {
 public:
@@ -35,7 +35,7 @@
         };
     }
 
-    /// Answered with 429 the first time that they are asked for.
+    /// Answered with 429 on their first request.
     std::set<std::string> refusedOncePaths;
     std::vector<std::string> requestedPaths;
 
@@ -92,8 +92,9 @@
 
 }
 
-// Guards against VMs that start together and refuse every caller for seconds: the platform refuses some pages, and each reading began anew.
-TEST_CASE("a page that the platform refused is asked for again, and those before it are not")
+// Guards against VMs that start together and refuse every caller for seconds: the platform refused some pages, and each read began from the first
+// page again.
+TEST_CASE("a page that the platform refused is requested again, and those before it are not")
 {
     EventLoop loop;
     PagedList list(loop, 2);
@@ -112,12 +113,12 @@
     loop.run();
     CHECK(list.requestedPaths == std::vector<std::string>{"/all/0", "/all/1", "/all/1"});
     CHECK(failures == 1);
-    // The first page served those who waited meanwhile.
+    // The first page served the requests that waited meanwhile.
     REQUIRE(read.size() == 2);
     CHECK(namesIn(read.front()) == std::set<std::string>{"i-0"});
 }
 
-TEST_CASE("a long list is read in parts: the own data centre's, and the others' when they are wanted")
+TEST_CASE("a long list is read in parts: the local data centre's, and the remote ones when they are wanted")
 {
     EventLoop loop;
     PagedList list(loop, 8);
--- a/tests/proxy/routeindextest.cpp
+++ b/tests/proxy/routeindextest.cpp
@@ -33,7 +33,7 @@
 
 }
 
-TEST_CASE("the longest prefix of the path on its host wins")
+TEST_CASE("the route with the longest prefix of the path on its host is found")
 {
     const RouteIndex routes(std::make_shared<const v1::RouteTable>(smallTable()));
     CHECK(routes.find("desk.example", "/a/x")->path_prefix() == "/a/");
@@ -44,7 +44,7 @@
     CHECK(routes.find("other.example", "/a/") == nullptr);
 }
 
-TEST_CASE("a key leads to the organisation that holds it")
+TEST_CASE("a key is mapped to the organisation that owns it")
 {
     v1::RouteTable table = smallTable();
     v1::RoutedOrganisation &organisation = *table.add_organisations();
@@ -56,16 +56,16 @@
     CHECK(routes.organisationOfKey("") == nullptr);
 }
 
-TEST_CASE("a table that breaks a rule is refused with the remedy")
+TEST_CASE("an invalid table is rejected with the remedy")
 {
     v1::RouteTable table = smallTable();
     std::string remedy;
     SECTION("unknown service")
     {
         addRoute(table, "/c/", "nobody");
-        remedy = "add it or mend the name";
+        remedy = "add it or correct the name";
     }
-    SECTION("two routes at one place")
+    SECTION("two routes with the same host and prefix")
     {
         addRoute(table, "/a/");
         remedy = "remove one of them";
@@ -78,7 +78,7 @@
     SECTION("no timeout")
     {
         addRoute(table, "/c/").set_timeout_ms(0);
-        remedy = "give it some milliseconds";
+        remedy = "set it to at least 1 ms";
     }
     SECTION("a prefix that does not end with a slash")
     {
