--- a/tests/fakeplatform/fakeplatform.cpp
+++ b/tests/fakeplatform/fakeplatform.cpp
@@ -29,11 +29,11 @@
     return {};
 }
 
-/// An answer that is under way, an event at a time.
+/// A streamed answer, sent one event at a time.
 struct FakePlatform::Stream
 {
-    Stream(EventLoop &loop, std::shared_ptr<Exchange> given)
-        : exchange(std::move(given))
+    Stream(EventLoop &loop, std::shared_ptr<Exchange> streamExchange)
+        : exchange(std::move(streamExchange))
         , timer(loop, [this] { next(); })
     {
         timer.startEvery(std::chrono::milliseconds(100));
@@ -66,7 +66,7 @@
     }
     m_door = std::move(valueOf(door));
     m_address.port = m_door->port();
-    m_door->arrived().connect([this](const std::shared_ptr<Exchange> &exchange) { take(exchange); });
+    m_door->arrived().connect([this](const std::shared_ptr<Exchange> &exchange) { handleRequest(exchange); });
     m_thread = std::thread([this] { m_loop.run(); });
 }
 
@@ -88,26 +88,26 @@
     m_state = state;
 }
 
-void FakePlatform::take(const std::shared_ptr<Exchange> &exchange)
+void FakePlatform::handleRequest(const std::shared_ptr<Exchange> &exchange)
 {
     if (exchange->path() == "/instances") {
-        answerList(*exchange);
+        replyList(*exchange);
     } else {
-        answerRun(exchange);
+        replyUpstreamRequest(exchange);
     }
 }
 
-void FakePlatform::answerList(Exchange &exchange) const
+void FakePlatform::replyList(Exchange &exchange) const
 {
     const std::lock_guard lock(m_mutex);
     const nlohmann::json entry{
         {"id", m_instance}, {"service", m_service}, {"address", toString(m_address)}, {"zone", "z-a"}, {"version", "v1"}, {"slots", 4}, {"state", m_state}};
-    // The last entry is another writer's.
+    // The last entry is malformed, as if another program had written it.
     const nlohmann::json list{{"instances", {entry, {{"id", 5}}}}, {"next", nullptr}};
     exchange.reply(200, "application/json", list.dump());
 }
 
-void FakePlatform::answerRun(const std::shared_ptr<Exchange> &exchange)
+void FakePlatform::replyUpstreamRequest(const std::shared_ptr<Exchange> &exchange)
 {
     exchange->addHeader("Cumindyke-Request-Id", exchange->header("Cumindyke-Request-Id"));
     if (endsWith(exchange->path(), "/full")) {
--- a/tests/fakeplatform/fakeplatform.h
+++ b/tests/fakeplatform/fakeplatform.h
@@ -14,7 +14,7 @@
 namespace cumindyke::test
 {
 
-/// What a stand-in upstream got.
+/// A request that the fake upstream received.
 struct SeenRequest
 {
     std::string method;
@@ -25,8 +25,9 @@
     std::string header(const std::string &name) const;
 };
 
-/// A stand-in of the users' platform for tests with real daemons: its list of upstreams, and one upstream that answers every path as the
-/// platform's protocol says. A path that ends with "/stream" is answered with three events, 100 ms apart; one that ends with "/full" is refused unrun.
+/// A fake of the users' platform for tests with real daemons: serves the list of upstreams, and one upstream that answers every path according to the
+/// platform's protocol. A path that ends with "/stream" is answered with three events, 100 ms apart; one that ends with "/full" is refused without
+/// running.
 class FakePlatform
 {
 public:
@@ -35,7 +36,7 @@
     FakePlatform(const FakePlatform &) = delete;
     FakePlatform &operator=(const FakePlatform &) = delete;
 
-    /// Of the list and of the upstream.
+    /// Address of both the list and the upstream.
     Address address() const
     {
         return m_address;
@@ -46,9 +47,9 @@
 private:
     struct Stream;
 
-    void take(const std::shared_ptr<Exchange> &exchange);
-    void answerList(Exchange &exchange) const;
-    void answerRun(const std::shared_ptr<Exchange> &exchange);
+    void handleRequest(const std::shared_ptr<Exchange> &exchange);
+    void replyList(Exchange &exchange) const;
+    void replyUpstreamRequest(const std::shared_ptr<Exchange> &exchange);
 
     const std::string m_instance;
     const std::string m_service;
--- a/tests/platform/documentstest.cpp
+++ b/tests/platform/documentstest.cpp
@@ -27,7 +27,7 @@
 
 }
 
-TEST_CASE("a configuration document becomes a route table in the product's words")
+TEST_CASE("a configuration document is converted to a route table")
 {
     const Result<v1::RouteTable> parsed = parseRouteDocument(Document);
     REQUIRE(ok(parsed));
@@ -49,7 +49,7 @@
     CHECK(table.organisations(0).burst() == 50);
 }
 
-TEST_CASE("a document that is not whole or lacks what is needed is refused")
+TEST_CASE("an incomplete document, or one without required members, is rejected")
 {
     std::string document = Document;
     const auto replaced = [&document](const std::string &from, const std::string &to) { document.replace(document.find(from), from.size(), to); };
@@ -61,7 +61,7 @@
     {
         document = "[1,2]";
     }
-    SECTION("nothing at all")
+    SECTION("empty")
     {
         document = "";
     }
@@ -69,7 +69,7 @@
     {
         replaced("\"version\":7", "\"v\":7");
     }
-    SECTION("a version that is no whole number")
+    SECTION("a version that is not an integer")
     {
         replaced("\"version\":7", "\"version\":7.5");
     }
@@ -88,7 +88,7 @@
     CHECK_FALSE(ok(parseRouteDocument(document)));
 }
 
-TEST_CASE("an entry of the list is read")
+TEST_CASE("an entry of the list is parsed")
 {
     const Result<InstancePage> page = pageWith(Entry);
     REQUIRE(ok(page));
@@ -102,21 +102,21 @@
     CHECK(valueOf(page).nextPageToken == "p-50");
 }
 
-// What callers see: requests go to an address that no upstream has, or none go anywhere. Somebody else writes into the list, too; what it
-// writes names no upstream to use, and must not take the others with it.
-TEST_CASE("an entry that can't be read is left out and the others hold")
+// Guards against requests sent to an address without an upstream, or to none at all. Other programs write into the list, too; their entries name no
+// usable upstream and must not invalidate the other entries.
+TEST_CASE("an entry that can't be parsed is left out and the others are kept")
 {
-    std::string forged = Entry;
-    const auto replaced = [&forged](const std::string &from, const std::string &to) { forged.replace(forged.find(from), from.size(), to); };
+    std::string malformed = Entry;
+    const auto replaced = [&malformed](const std::string &from, const std::string &to) { malformed.replace(malformed.find(from), from.size(), to); };
     SECTION("no entry at all")
     {
-        forged = "null";
+        malformed = "null";
     }
-    SECTION("a state that is not known")
+    SECTION("an unknown state")
     {
         replaced("\"ready\"", "\"resting\"");
     }
-    SECTION("an address that is none")
+    SECTION("an invalid address")
     {
         replaced("10.0.0.9:8080", "somewhere");
     }
@@ -132,20 +132,20 @@
     {
         replaced("\"version\":\"v1\",", "");
     }
-    const Result<InstancePage> page = pageWith(forged + "," + Entry);
+    const Result<InstancePage> page = pageWith(malformed + "," + Entry);
     REQUIRE(ok(page));
     CHECK(valueOf(page).instances.size() == 1);
     CHECK(valueOf(page).rejectedCount == 1);
 }
 
-TEST_CASE("a torn page is refused whole")
+TEST_CASE("a truncated page is rejected as a whole")
 {
     CHECK_FALSE(ok(parseInstancePage(R"({"instances":[{"id":"i-1")")));
     CHECK_FALSE(ok(parseInstancePage("\xff\xfe")));
     CHECK_FALSE(ok(parseInstancePage(R"({"instances":{}})")));
 }
 
-TEST_CASE("a page token may hold any character")
+TEST_CASE("a page token may contain any character")
 {
     const InstanceListProtocol list = instanceListAt(Address{.host = "127.0.0.1", .port = 1});
     CHECK(list.target({}, "") == "/instances");
--- a/tests/platform/wholepathtest.cpp
+++ b/tests/platform/wholepathtest.cpp
@@ -16,18 +16,18 @@
 constexpr std::uint16_t PeerPort = 7600;
 constexpr std::uint16_t LeasePort = 7615;
 constexpr std::uint16_t ControlPort = 8229;
-constexpr std::uint16_t FrontPort = 8221;
+constexpr std::uint16_t CallerPort = 8221;
 constexpr std::uint16_t ReadinessPort = 8224;
 constexpr int ControlVms = 3;
 constexpr int EntryVms = 2;
 
-/// Three control VMs, two entry VMs and the platform's stand-in, on loopback.
+/// Three control VMs, two entry VMs and the fake platform, on loopback.
 class System
 {
 public:
-    explicit System(std::string more = {})
+    explicit System(std::string extraSettings = {})
         : platform(network.host(90), "i-1", "desk")
-        , more(std::move(more))
+        , extraSettings(std::move(extraSettings))
     {
         for (int vm = 1; vm <= ControlVms + EntryVms; ++vm) {
             start(vm);
@@ -44,34 +44,34 @@
                                                 folder.file("err" + std::to_string(vm)));
     }
 
-    Address control(int vm) const
+    Address operatorAddress(int vm) const
     {
         return Address{.host = network.host(vm), .port = ControlPort};
     }
-    Address front(int vm = ControlVms + 1) const
+    Address callerAddress(int vm = ControlVms + 1) const
     {
-        return Address{.host = network.host(vm), .port = FrontPort};
+        return Address{.host = network.host(vm), .port = CallerPort};
     }
-    bool ready(int vm) const
+    bool isReady(int vm) const
     {
         return http(Address{.host = network.host(vm), .port = ReadinessPort}, "GET", "/api/readyz").status == 200;
     }
-    /// Sends it until it is acknowledged, to each control VM in turn, as the operator does.
+    /// Sends the document to each control VM in turn until it is acknowledged, as the operator does.
     bool publish(const std::string &document) const
     {
         int vm = 0;
-        return eventually([&] { return http(control(vm++ % ControlVms + 1), "PUT", "/api/config", {}, document).status == 200; });
+        return eventually([&] { return http(operatorAddress(vm++ % ControlVms + 1), "PUT", "/api/config", {}, document).status == 200; });
     }
-    bool allReady() const
+    bool waitUntilReady() const
     {
-        return eventually([this] { return ready(ControlVms + 1) && ready(ControlVms + 2); });
+        return eventually([this] { return isReady(ControlVms + 1) && isReady(ControlVms + 2); });
     }
 
     TestNetwork network;
     TemporaryFolder folder;
     FakePlatform platform;
-    /// Settings of every VM besides the usual ones.
-    const std::string more;
+    /// Additional settings of every VM.
+    const std::string extraSettings;
     std::map<int, std::unique_ptr<Process>> daemons;
 
 private:
@@ -79,16 +79,16 @@
     {
         std::string replicas;
         for (int seed = 1; seed <= ControlVms; ++seed) {
-            replicas += (seed == 1 ? "\"" : ", \"") + toString(control(seed)) + "\"";
+            replicas += (seed == 1 ? "\"" : ", \"") + toString(operatorAddress(seed)) + "\"";
         }
         const bool isControl = vm <= ControlVms;
         std::string text = "vm = \"" + host + "\"\ndata_centre = \"z-a\"\nrpc_address = \"" + host + ":" + std::to_string(PeerPort)
             + "\"\npeer_port = " + std::to_string(PeerPort) + "\nlease_port = " + std::to_string(LeasePort) + "\nreplicas = [" + replicas
-            + "]\nkeep_admitting_ms = 1800\n" + more + "data_folder = \"" + (isControl ? folder.file("data" + std::to_string(vm)) : "") + "\"\n";
+            + "]\nkeep_admitting_ms = 1800\n" + extraSettings + "data_folder = \"" + (isControl ? folder.file("data" + std::to_string(vm)) : "") + "\"\n";
         if (isControl) {
-            return text + "operator_api = \"" + toString(control(vm)) + "\"\n";
+            return text + "operator_api = \"" + toString(operatorAddress(vm)) + "\"\n";
         }
-        return text + "[proxy]\naddress = \"" + toString(front(vm)) + "\"\nreadiness_address = \"" + host + ":" + std::to_string(ReadinessPort)
+        return text + "[proxy]\naddress = \"" + toString(callerAddress(vm)) + "\"\nreadiness_address = \"" + host + ":" + std::to_string(ReadinessPort)
             + "\"\nupstream_list = \"" + toString(platform.address()) + "\"\n";
     }
 };
@@ -123,13 +123,13 @@
 
 }
 
-TEST_CASE("process: a caller's request goes through the whole path unchanged and the operator reads back what was sent")
+TEST_CASE("process: a caller's request passes the whole path unchanged, and the operator reads back the published document")
 {
     System system;
     REQUIRE(system.publish(documentOf(3)));
-    REQUIRE(system.allReady());
+    REQUIRE(system.waitUntilReady());
 
-    const HttpAnswer answer = http(system.front(), "POST", "/deposits/a?b=c", callerHeaders("id-1"), "the body");
+    const HttpAnswer answer = http(system.callerAddress(), "POST", "/deposits/a?b=c", callerHeaders("id-1"), "the body");
     CHECK(answer.status == 200);
     CHECK(answer.body == "ran /deposits/a?b=c the body");
     CHECK(answer.header("Cumindyke-Runner-Seal") == "seal-of-i-1");
@@ -145,48 +145,48 @@
     CHECK(seen.header("Cumindyke-Hold").empty());
     CHECK(std::stoi(seen.header("Cumindyke-Deadline-Ms")) <= 4000);
 
-    const HttpAnswer stream = http(system.front(ControlVms + 2), "POST", "/drafts/stream", callerHeaders("id-2"));
+    const HttpAnswer stream = http(system.callerAddress(ControlVms + 2), "POST", "/drafts/stream", callerHeaders("id-2"));
     CHECK(stream.status == 200);
     CHECK(stream.body == "id: 1\ndata: part 1\n\nid: 2\ndata: part 2\n\nid: 3\ndata: part 3\n\n");
     CHECK_FALSE(stream.failure);
 
-    CHECK(http(system.front(), "GET", "/deposits/a", callerHeaders("id-3", "no key")).status == 401);
-    CHECK(http(system.front(), "GET", "/nowhere/", callerHeaders("id-4")).status == 404);
-    const HttpAnswer full = http(system.front(), "POST", "/deposits/full", callerHeaders("id-5"));
+    CHECK(http(system.callerAddress(), "GET", "/deposits/a", callerHeaders("id-3", "no key")).status == 401);
+    CHECK(http(system.callerAddress(), "GET", "/nowhere/", callerHeaders("id-4")).status == 404);
+    const HttpAnswer full = http(system.callerAddress(), "POST", "/deposits/full", callerHeaders("id-5"));
     CHECK(full.status == 503);
     CHECK_FALSE(full.header("Retry-After").empty());
     CHECK(full.header("Cumindyke-Runner-Seal").empty());
     CHECK(system.platform.seen().size() == 2);
 
     for (int vm = 1; vm <= ControlVms; ++vm) {
-        CHECK(http(system.control(vm), "GET", "/api/config").body == documentOf(3));
+        CHECK(http(system.operatorAddress(vm), "GET", "/api/config").body == documentOf(3));
     }
-    CHECK(http(system.control(1), "PUT", "/api/config", {}, "{\"version\":4").status == 400);
-    CHECK(http(system.control(1), "GET", "/api/rollouts/desk").status == 404);
-    CHECK(http(system.control(2), "POST", "/api/rollouts", {}, R"({"service":"desk","target":"v2","durationS":30})").status == 200);
-    CHECK(nlohmann::json::parse(http(system.control(3), "GET", "/api/rollouts/desk").body).at("state") == "in_progress");
+    CHECK(http(system.operatorAddress(1), "PUT", "/api/config", {}, "{\"version\":4").status == 400);
+    CHECK(http(system.operatorAddress(1), "GET", "/api/rollouts/desk").status == 404);
+    CHECK(http(system.operatorAddress(2), "POST", "/api/rollouts", {}, R"({"service":"desk","target":"v2","durationS":30})").status == 200);
+    CHECK(nlohmann::json::parse(http(system.operatorAddress(3), "GET", "/api/rollouts/desk").body).at("state") == "in_progress");
 }
 
-// Guards against control VMs whose state nobody can watch: on-call engineers had the leader's lines only.
-TEST_CASE("process: control VMs serve their metrics, and the leader's tell that a configuration was published and confirmed")
+// Guards against control VMs whose state can't be monitored: on-call engineers had only the leader's log.
+TEST_CASE("process: control VMs serve their metrics, and the leader's show that a configuration was published and confirmed")
 {
     System system;
     REQUIRE(system.publish(documentOf(3)));
-    REQUIRE(system.allReady());
+    REQUIRE(system.waitUntilReady());
     int published = 0;
     for (int vm = 1; vm <= ControlVms; ++vm) {
-        const HttpAnswer metrics = http(system.control(vm), "GET", "/metrics");
+        const HttpAnswer metrics = http(system.operatorAddress(vm), "GET", "/metrics");
         CHECK(metrics.status == 200);
         CHECK(metrics.body.find("cumindyke_peer_held_bytes") != std::string::npos);
-        const bool leads = metrics.body.find("cumindyke_versions_published_total 0") == std::string::npos;
-        published += leads ? 1 : 0;
-        CHECK((metrics.body.find("cumindyke_versions_confirmed_total 0") == std::string::npos) == leads);
+        const bool isLeader = metrics.body.find("cumindyke_versions_published_total 0") == std::string::npos;
+        published += isLeader ? 1 : 0;
+        CHECK((metrics.body.find("cumindyke_versions_confirmed_total 0") == std::string::npos) == isLeader);
     }
     CHECK(published >= 1);
 }
 
-// What the operator fears: a configuration that was acknowledged is gone or older after all control processes were killed at once. Each has
-// synced it before the acknowledgement, so whoever leads afterwards holds it; entry VMs serve again under it.
+// Guards against an acknowledged configuration that is lost or replaced by an older one after all control processes were killed at once. Each has
+// synced it before the acknowledgement, so any later leader has it, and entry VMs serve under it again.
 TEST_CASE("process: an acknowledged configuration survives the kill of every control process")
 {
     System system;
@@ -199,96 +199,96 @@
     for (int vm = 1; vm <= ControlVms; ++vm) {
         system.start(vm);
     }
-    CHECK(eventually([&] { return http(system.control(2), "GET", "/api/config").body == documentOf(9); }));
-    REQUIRE(system.allReady());
-    CHECK(http(system.front(), "GET", "/deposits/a", callerHeaders("id-1")).status == 200);
+    CHECK(eventually([&] { return http(system.operatorAddress(2), "GET", "/api/config").body == documentOf(9); }));
+    REQUIRE(system.waitUntilReady());
+    CHECK(http(system.callerAddress(), "GET", "/deposits/a", callerHeaders("id-1")).status == 200);
 }
 
-// Guards against a confirmation that comes while a VM may still admit requests under the configuration before it.
-TEST_CASE("process: a VM that stood still while a configuration was confirmed serves nothing under the one before")
+// Guards against a confirmation while a VM may still admit requests under the previous configuration.
+TEST_CASE("process: a VM that was suspended while a configuration was confirmed serves nothing under the previous one")
 {
     System system("confirm_within_ms = 0\n");
     REQUIRE(system.publish(documentOf(3)));
-    REQUIRE(system.allReady());
-    nlohmann::json without = nlohmann::json::parse(documentOf(4));
-    without["routes"].erase(0);
+    REQUIRE(system.waitUntilReady());
+    nlohmann::json reduced = nlohmann::json::parse(documentOf(4));
+    reduced["routes"].erase(0);
     const int vm = ControlVms + 1;
     system.daemons[vm]->signal(SIGSTOP);
-    REQUIRE(system.publish(without.dump()));
+    REQUIRE(system.publish(reduced.dump()));
     system.daemons[vm]->signal(SIGCONT);
-    CHECK(http(system.front(vm), "POST", "/deposits/a", callerHeaders("id-1")).status != 200);
+    CHECK(http(system.callerAddress(vm), "POST", "/deposits/a", callerHeaders("id-1")).status != 200);
     CHECK(system.platform.seen().empty());
-    CHECK(system.allReady());
-    CHECK(http(system.front(vm), "POST", "/deposits/a", callerHeaders("id-2")).status == 404);
+    CHECK(system.waitUntilReady());
+    CHECK(http(system.callerAddress(vm), "POST", "/deposits/a", callerHeaders("id-2")).status == 404);
 }
 
-// What callers see in an upgrade: a stream cut in the middle, or connections refused, because the process ended as soon as it was told to.
-// It is unready at once, so that the balancer moves on, ends what it has, and takes what still comes meanwhile. A signal that settings have
-// changed ends nothing.
-TEST_CASE("process: an entry VM that is told to end finishes its streams first and a hang-up does not end it")
+// Guards against streams that are cut off, or connections refused, in an upgrade because the process exited on the signal at once. A stopping VM
+// becomes unready at once, so that the balancer uses other VMs, finishes its requests, and serves those that still arrive. SIGHUP, which reports
+// changed settings, stops nothing.
+TEST_CASE("process: an entry VM finishes its streams on SIGTERM, and SIGHUP does not stop it")
 {
     System system;
     REQUIRE(system.publish(documentOf(3)));
-    REQUIRE(system.allReady());
+    REQUIRE(system.waitUntilReady());
     const int vm = ControlVms + 1;
     system.daemons[vm]->signal(SIGHUP);
     HttpAnswer stream;
-    std::thread caller([&] { stream = http(system.front(vm), "POST", "/drafts/stream", callerHeaders("id-1")); });
+    std::thread caller([&] { stream = http(system.callerAddress(vm), "POST", "/drafts/stream", callerHeaders("id-1")); });
     CHECK(eventually([&] { return !system.platform.seen().empty(); }));
     system.daemons[vm]->signal(SIGTERM);
-    CHECK(eventually([&] { return !system.ready(vm); }));
-    CHECK(http(system.front(vm), "GET", "/deposits/a", callerHeaders("id-2")).status == 200);
+    CHECK(eventually([&] { return !system.isReady(vm); }));
+    CHECK(http(system.callerAddress(vm), "GET", "/deposits/a", callerHeaders("id-2")).status == 200);
     caller.join();
     CHECK(stream.status == 200);
     CHECK_FALSE(stream.failure);
     CHECK(system.daemons[vm]->wait() == 0);
 }
 
-// What callers see: every request of a data centre is refused for want of room, though upstreams are idle. Of two entry VMs one places the
-// requests of both. It is killed, or stands still with its sockets open; the other one hears nothing of it, and places its own.
-TEST_CASE("process: requests go on when the VM that places them is killed or stands still")
+// Guards against every request of a data centre being refused for lack of a slot although upstreams are idle. One of two entry VMs places the
+// requests of both; it is killed, or suspended with its sockets open, and the other VM, which receives no reply, places its own requests.
+TEST_CASE("process: requests are served when the VM that places them is killed or suspended")
 {
     const int signal = GENERATE(SIGKILL, SIGSTOP);
     System system;
     REQUIRE(system.publish(documentOf(3)));
-    REQUIRE(system.allReady());
-    // Which of the two places is decided by a hash of their names, so each is lost once.
-    for (const int lost : {ControlVms + 1, ControlVms + 2}) {
-        const int other = lost == ControlVms + 1 ? ControlVms + 2 : ControlVms + 1;
-        const std::string id = "id-" + std::to_string(lost);
-        CHECK(http(system.front(other), "POST", "/deposits/a", callerHeaders(id + "-before")).status == 200);
-        system.daemons[lost]->signal(signal);
-        CHECK(http(system.front(other), "POST", "/deposits/a", callerHeaders(id + "-after")).status == 200);
+    REQUIRE(system.waitUntilReady());
+    // A hash of their names decides which of the two places requests, so each fails once.
+    for (const int failedVm : {ControlVms + 1, ControlVms + 2}) {
+        const int other = failedVm == ControlVms + 1 ? ControlVms + 2 : ControlVms + 1;
+        const std::string id = "id-" + std::to_string(failedVm);
+        CHECK(http(system.callerAddress(other), "POST", "/deposits/a", callerHeaders(id + "-before")).status == 200);
+        system.daemons[failedVm]->signal(signal);
+        CHECK(http(system.callerAddress(other), "POST", "/deposits/a", callerHeaders(id + "-after")).status == 200);
         if (signal == SIGSTOP) {
-            system.daemons[lost]->signal(SIGCONT);
+            system.daemons[failedVm]->signal(SIGCONT);
         } else {
-            system.daemons[lost]->wait();
-            system.start(lost);
+            system.daemons[failedVm]->wait();
+            system.start(failedVm);
         }
-        REQUIRE(system.allReady());
+        REQUIRE(system.waitUntilReady());
     }
     CHECK(system.platform.seen().size() == 4);
 }
 
-// Pattern: all entry VMs are restarted one after the other while callers keep connections open. What the caller sees: an answer half a second late. Its
-// connection leads to a VM that shuts down and takes nothing any more; the refusal made it wait, although every other VM would have served it at once.
-TEST_CASE("process: a VM that shuts down sends callers to the others without a wait")
+// Guards against an answer that is half a second late while all entry VMs are restarted one after the other and callers keep connections open: a
+// connection leads to a VM that is shutting down, whose refusal told the caller to wait although every other VM would have served it at once.
+TEST_CASE("process: a VM that shuts down refuses callers without a wait, so that they use the others")
 {
-    constexpr int MostAttempts = 3;
+    constexpr int MaxAttempts = 3;
     System system;
     REQUIRE(system.publish(documentOf(3)));
-    REQUIRE(system.allReady());
+    REQUIRE(system.waitUntilReady());
     const int vm = ControlVms + 1;
     HttpAnswer refusal;
-    // It refuses for some tenths of a second before it ends; a test process that stood still just then looks again.
-    for (int attempt = 0; attempt < MostAttempts && refusal.status != 503; ++attempt) {
+    // It refuses for some tenths of a second before it exits; if the test process was suspended during that time, it tries again.
+    for (int attempt = 0; attempt < MaxAttempts && refusal.status != 503; ++attempt) {
         system.daemons[vm]->signal(SIGTERM);
         while (refusal.status != 503 && system.daemons[vm]->running()) {
-            refusal = http(system.front(vm), "GET", "/deposits/a", callerHeaders("id-1"));
+            refusal = http(system.callerAddress(vm), "GET", "/deposits/a", callerHeaders("id-1"));
         }
         system.daemons[vm]->wait();
         system.start(vm);
-        REQUIRE(system.allReady());
+        REQUIRE(system.waitUntilReady());
     }
     REQUIRE(refusal.status == 503);
     CHECK(std::stod(refusal.header("Retry-After")) == 0);
