--- a/src/placement/firsteventmodel.h
+++ b/src/placement/firsteventmodel.h
@@ -8,8 +8,8 @@
 {
 
 /// Linear model of the time from sending a request to a model engine until its first event, fitted to the answers of one service: a fixed part and a
-/// part per prompt token that the engine processes before the event (prefill). Both parts are for an engine of slowness 1; on another engine the time
-/// is multiplied by its slowness.
+/// part per prompt token that the engine processes before the event (prefill). Both parts are for an engine of slowness 1, the fastest of the
+/// service; on another engine the time is multiplied by its slowness, the ratio of the engines' paces.
 ///
 /// Least squares with exponential forgetting: engines and their load change over minutes, in which a few hundred answers arrive.
 class FirstEventModel
--- a/src/placement/fleetlimits.h
+++ b/src/placement/fleetlimits.h
@@ -34,8 +34,8 @@
     /// Sets the share of all entry VMs, 0 to 1, whose admissions are known here. When the share decreases, the bucket levels are scaled down with
     /// it.
     void setCoverage(double coverage, TimePoint now);
-    /// Applies the admissions that another server's process has counted since its start, and its bucket levels. With "adoptLevels", while this
-    /// server has no requests, its levels replace the local ones.
+    /// Applies the admissions that another server's process has counted since its start. With "adoptLevels", for use while this server has no
+    /// requests, the sender's bucket levels replace the local ones.
     void handleNotice(const VmName &from, const v1::LoadNotice &notice, bool adoptLevels, TimePoint now);
     /// Writes the admissions counted here, if any of them changed and periodically otherwise. "withLevels" adds the bucket levels, for a receiver
     /// that may have to take over.
@@ -67,7 +67,7 @@
         double rate = 0;
         double burst = 0;
         std::optional<double> level;
-        /// The share of entry VMs that are not covered; restored as they become covered.
+        /// Part of the level that belongs to entry VMs that are not covered; restored when they become covered.
         double withheld = 0;
         TimePoint refilledAt;
         /// Admitted by this process since its start.
@@ -91,7 +91,6 @@
 
     const double m_tolerance;
     double m_coverage = 0;
-    /// Since the last notice.
     bool m_spendsChangedSinceNotice = false;
     std::map<std::string, Bucket> m_buckets;
     std::map<VmName, Peer> m_peers;
--- a/src/placement/placementserver.cpp
+++ b/src/placement/placementserver.cpp
@@ -119,7 +119,7 @@
     }
     for (const v1::PlacementAsk &ask : state.asks()) {
         listedIds.push_back(ask.id());
-        handleAsk(from, entryVm, ask, now);
+        handlePlacementRequest(from, entryVm, ask, now);
     }
     for (const std::uint64_t id : state.unchanged()) {
         resendDecision(entryVm, PlacementId{id}, now);
@@ -170,7 +170,7 @@
     }
 }
 
-void PlacementServer::handleAsk(const VmName &from, EntryVm &entryVm, const v1::PlacementAsk &ask, TimePoint now)
+void PlacementServer::handlePlacementRequest(const VmName &from, EntryVm &entryVm, const v1::PlacementAsk &ask, TimePoint now)
 {
     const PlacementId id{ask.id()};
     if (entryVm.requests.contains(id)) {
--- a/src/placement/placementserver.h
+++ b/src/placement/placementserver.h
@@ -146,7 +146,7 @@
     };
 
     void handleDeparture(const VmName &from, const v1::EntryState &state);
-    void handleAsk(const VmName &from, EntryVm &entryVm, const v1::PlacementAsk &ask, TimePoint now);
+    void handlePlacementRequest(const VmName &from, EntryVm &entryVm, const v1::PlacementAsk &ask, TimePoint now);
     TrackedRequest makeRequest(const v1::PlacementAsk &ask, TimePoint now) const;
     void resendDecision(EntryVm &entryVm, PlacementId id, TimePoint now);
     void handlePlaced(const VmName &from, EntryVm &entryVm, const v1::PlacedRequest &placed);
--- a/src/proxy/placementhost.cpp
+++ b/src/proxy/placementhost.cpp
@@ -75,9 +75,9 @@
     scheduleAdvance();
 }
 
-PlacementId PlacementHost::requestPlacement(SlotRequest wish)
+PlacementId PlacementHost::requestPlacement(SlotRequest request)
 {
-    const PlacementId id = m_client.requestPlacement(std::move(wish), EventLoop::now());
+    const PlacementId id = m_client.requestPlacement(std::move(request), EventLoop::now());
     scheduleState();
     return id;
 }
--- a/src/proxy/placementhost.h
+++ b/src/proxy/placementhost.h
@@ -36,7 +36,7 @@
     static Result<std::unique_ptr<PlacementHost>> open(EventLoop &loop, PlacementHostOptions options);
 
     /// Answered by granted() or refused(), unless ended() is called before.
-    PlacementId requestPlacement(SlotRequest wish);
+    PlacementId requestPlacement(SlotRequest request);
     /// See PlacementClient.
     void recordFirstEvent(PlacementId id, Duration after);
     void recordEarlyPace(PlacementId id, double paceMs);
--- a/src/proxy/proxyanswers.cpp
+++ b/src/proxy/proxyanswers.cpp
@@ -114,7 +114,7 @@
     request.answerHead = {};
     request.bufferedBody.clear();
     request.eventSplitter.discardPartial();
-    UpstreamRequest sending{
+    UpstreamRequest upstreamRequest{
         .id = request.parsed.id,
         .address = to.address,
         .method = request.exchange->method(),
@@ -125,7 +125,7 @@
         .idHeader = m_options.headers.requestId,
         .mayEndWithConnection = true,
     };
-    request.call = std::make_unique<UpstreamCall>(m_loop, std::move(sending), timeoutsFor(request, now));
+    request.call = std::make_unique<UpstreamCall>(m_loop, std::move(upstreamRequest), timeoutsFor(request, now));
     request.attempts.recordStart();
     logChange("proxy",
               "sent",
--- a/src/proxy/proxytask.cpp
+++ b/src/proxy/proxytask.cpp
@@ -323,14 +323,14 @@
     tally.set_data_centre(m_options.dataCentre.value);
     tally.set_draining(m_drain.has_value());
     for (const auto &[key, counts] : m_versionCounts) {
-        v1::VersionCounts &wire = *tally.add_versions();
-        wire.set_service(key.first);
-        wire.set_version(key.second);
-        wire.set_sent(counts.sent);
-        wire.set_good(counts.good);
-        wire.set_bad(counts.bad);
-        wire.set_head_ms(counts.headMs);
-        wire.set_heads(counts.heads);
+        v1::VersionCounts &message = *tally.add_versions();
+        message.set_service(key.first);
+        message.set_version(key.second);
+        message.set_sent(counts.sent);
+        message.set_good(counts.good);
+        message.set_bad(counts.bad);
+        message.set_head_ms(counts.headMs);
+        message.set_heads(counts.heads);
     }
     m_options.sendTally(std::move(tally));
     m_placement->announce();
--- a/src/proxy/requestparser.cpp
+++ b/src/proxy/requestparser.cpp
@@ -21,8 +21,8 @@
 std::optional<std::uint64_t> parseNumber(std::string_view text)
 {
     std::uint64_t number = 0;
-    const auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), number);
-    return problem == std::errc() && end == text.data() + text.size() ? std::optional(number) : std::nullopt;
+    const auto [end, errorCode] = std::from_chars(text.data(), text.data() + text.size(), number);
+    return errorCode == std::errc() && end == text.data() + text.size() ? std::optional(number) : std::nullopt;
 }
 
 Refusal makeRefusal(ErrorKind kind, std::string message, std::optional<Duration> retryAfter = {})
--- a/tests/placement/fleetlimitstest.cpp
+++ b/tests/placement/fleetlimitstest.cpp
@@ -216,10 +216,10 @@
     CHECK(admittedOf(limits, 100, 60, after(10)) >= 3500);
     SECTION("and servers that are partitioned again keep no more than their shares")
     {
-        FleetLimits parted = limitsOf(7000, 1, 700);
-        admittedOf(parted, 100, 10, Start);
-        parted.setCoverage(0.5, Start);
-        CHECK(admittedOf(parted, 100, 60, Start) <= (3500 + 700 - 1000) / 2 + 100);
+        FleetLimits partitioned = limitsOf(7000, 1, 700);
+        admittedOf(partitioned, 100, 10, Start);
+        partitioned.setCoverage(0.5, Start);
+        CHECK(admittedOf(partitioned, 100, 60, Start) <= (3500 + 700 - 1000) / 2 + 100);
     }
 }
 
