--- a/src/bench/cumindykepolicy.cpp
+++ b/src/bench/cumindykepolicy.cpp
@@ -154,7 +154,7 @@
         vm.book.noteUnreachable(upstream.name, now);
         enqueue(request, now);
     } else if (end == DispatchEnd::Whole) {
-        vm.lengths.learn(request.service, request.route, request.answerLimit, request.answer);
+        vm.lengths.recordAnswer(request.service, request.route, request.answerLimit, request.answer);
     }
     serve(request.vm, now);
     scheduleFlush(request.vm, now);
--- a/src/entry/dispatcher.cpp
+++ b/src/entry/dispatcher.cpp
@@ -181,7 +181,7 @@
 
 void Dispatcher::learnAnswer(const CallerRequest &request, TokenCount answer)
 {
-    m_lengths.learn(request.service, request.route, request.answerTokens, answer);
+    m_lengths.recordAnswer(request.service, request.route, request.answerTokens, answer);
 }
 
 std::size_t Dispatcher::waiting(const ServiceName &service) const
--- a/src/policy/lengthestimate.cpp
+++ b/src/policy/lengthestimate.cpp
@@ -33,7 +33,7 @@
     return TokenCount{std::max<std::uint32_t>(1, static_cast<std::uint32_t>(length))};
 }
 
-void LengthEstimate::learn(const ServiceName &service, const std::string &route, TokenCount limit, TokenCount answer)
+void LengthEstimate::recordAnswer(const ServiceName &service, const std::string &route, TokenCount limit, TokenCount answer)
 {
     Learned &learned = m_learned[{service, route}];
     follow(learned.length, learned.lengths, answer.value);
--- a/src/policy/lengthestimate.h
+++ b/src/policy/lengthestimate.h
@@ -16,7 +16,7 @@
 public:
     /// The limit is 0 when the caller gave none.
     TokenCount answer(const ServiceName &service, const std::string &route, TokenCount limit) const;
-    void learn(const ServiceName &service, const std::string &route, TokenCount limit, TokenCount answer);
+    void recordAnswer(const ServiceName &service, const std::string &route, TokenCount limit, TokenCount answer);
 
 private:
     struct Learned
--- a/tests/policy/pendingqueuetest.cpp
+++ b/tests/policy/pendingqueuetest.cpp
@@ -83,8 +83,8 @@
 {
     LengthEstimate lengths;
     for (int i = 0; i < 500; ++i) {
-        lengths.learn(ServiceName{"drafting"}, "chat", TokenCount{0}, TokenCount{static_cast<std::uint32_t>(100 + i % 100)});
-        lengths.learn(ServiceName{"drafting"}, "chat", TokenCount{400}, TokenCount{200});
+        lengths.recordAnswer(ServiceName{"drafting"}, "chat", TokenCount{0}, TokenCount{static_cast<std::uint32_t>(100 + i % 100)});
+        lengths.recordAnswer(ServiceName{"drafting"}, "chat", TokenCount{400}, TokenCount{200});
     }
     const std::uint32_t unsaid = lengths.answer(ServiceName{"drafting"}, "chat", TokenCount{0}).value;
     CHECK(unsaid > 150);
