--- a/src/bench/moveoutcomes.cpp
+++ b/src/bench/moveoutcomes.cpp
@@ -202,7 +202,7 @@
             break;
         case Event::Kind::Look:
             look();
-            push(m_now + std::chrono::milliseconds(LookIntervalMs), Event::Kind::Look, 0);
+            push(m_now + std::chrono::milliseconds(EvaluationIntervalMs), Event::Kind::Look, 0);
             break;
         case Event::Kind::Decision:
             m_vms[event.subject].router.setMoves({m_move});
--- a/src/control/controltask.cpp
+++ b/src/control/controltask.cpp
@@ -321,7 +321,7 @@
 
 void ControlTask::decideMoves(TimePoint now)
 {
-    m_nextLook = now + std::chrono::milliseconds(LookIntervalMs);
+    m_nextLook = now + std::chrono::milliseconds(EvaluationIntervalMs);
     if (!m_leadership.leads()) {
         m_moveLeader.reset();
         return;
--- a/src/control/moveleader.h
+++ b/src/control/moveleader.h
@@ -18,7 +18,7 @@
 {
 public:
     void take(const v1::OutcomeReport &report);
-    /// The verdicts to propose now. Call it every LookIntervalMs while leading.
+    /// The verdicts to propose now. Call it every EvaluationIntervalMs while leading.
     std::vector<v1::MoveVerdict> advance(const StateMachine &state, WallTime now);
     /// This VM no longer leads, or leads anew: evidence from before is of no use.
     void reset();
--- a/src/policy/moveramp.cpp
+++ b/src/policy/moveramp.cpp
@@ -39,7 +39,7 @@
 }
 
 MoveRamp::MoveRamp(const Move &move, std::size_t upstreams, WallTime now)
-    : m_verdict(static_cast<std::size_t>(std::max<std::int64_t>(1, (move.deadline.value - move.started.value) / LookIntervalMs)))
+    : m_verdict(static_cast<std::size_t>(std::max<std::int64_t>(1, (move.deadline.value - move.started.value) / EvaluationIntervalMs)))
     , m_upstreams(std::max<std::size_t>(1, upstreams))
     , m_state(move.state)
     , m_share(move.share)
--- a/src/policy/moveramp.h
+++ b/src/policy/moveramp.h
@@ -67,7 +67,7 @@
 };
 
 /// How often a leader looks, which the verdict's prior over starting times is made for.
-constexpr std::int64_t LookIntervalMs = 250;
+constexpr std::int64_t EvaluationIntervalMs = 250;
 /// A move needs at least this long; a tighter deadline is answered at once.
 constexpr std::int64_t ShortestMoveMs = 40'000;
 
--- a/tests/policy/movepolicytest.cpp
+++ b/tests/policy/movepolicytest.cpp
@@ -174,7 +174,7 @@
 {
     MoveRamp ramp(move(MoveState::Ramping, 0), 12, WallTime{0});
     Move state = move(MoveState::Ramping, 0);
-    for (std::int64_t now = 0; now <= 600'000 && state.isOpen(); now += LookIntervalMs) {
+    for (std::int64_t now = 0; now <= 600'000 && state.isOpen(); now += EvaluationIntervalMs) {
         if (const auto decision = ramp.advance(state, {}, WallTime{now})) {
             REQUIRE(ok(state.decide(decision->state, decision->share, decision->reason, WallTime{now})));
         }
