--- a/src/bench/moveoutcomes.cpp
+++ b/src/bench/moveoutcomes.cpp
@@ -366,7 +366,8 @@
         if (!m_move.isOpen()) {
             return;
         }
-        const std::optional<MoveDecision> decision = m_ramp.advance(m_move, lookAt(m_collector.takeGrowth(), Drafting, OldVersion, NewVersion), wallNow());
+        const std::optional<MoveDecision> decision
+            = m_ramp.advance(m_move, compareVersions(m_collector.takeGrowth(), Drafting, OldVersion, NewVersion), wallNow());
         if (!decision || !ok(m_move.decide(decision->state, decision->share, decision->reason, wallNow()))) {
             return;
         }
--- a/src/control/moveleader.cpp
+++ b/src/control/moveleader.cpp
@@ -49,7 +49,7 @@
         if (ramp == m_ramps.end()) {
             ramp = m_ramps.emplace(name, MoveRamp(move, upstreamCount(state.declarations(), move.service, move.from), now)).first;
         }
-        if (const auto decision = ramp->second.advance(move, lookAt(growth, move.service, move.from, move.to), now)) {
+        if (const auto decision = ramp->second.advance(move, compareVersions(growth, move.service, move.from, move.to), now)) {
             verdicts.push_back(toWire(move, *decision));
         }
     }
--- a/src/policy/moveverdict.cpp
+++ b/src/policy/moveverdict.cpp
@@ -81,7 +81,7 @@
 
 }
 
-Look lookAt(const OutcomeMap &growth, const ServiceName &service, const VersionName &from, const VersionName &to)
+Look compareVersions(const OutcomeMap &growth, const ServiceName &service, const VersionName &from, const VersionName &to)
 {
     Look look;
     for (const auto &[key, counts] : growth) {
--- a/src/policy/moveverdict.h
+++ b/src/policy/moveverdict.h
@@ -30,7 +30,7 @@
 using Look = std::map<Stratum, Comparison>;
 
 /// The part of the growth of all counters that concerns a move.
-Look lookAt(const OutcomeMap &growth, const ServiceName &service, const VersionName &from, const VersionName &to);
+Look compareVersions(const OutcomeMap &growth, const ServiceName &service, const VersionName &from, const VersionName &to);
 
 enum class FaultKind { Fails, FailsMore, SlowFirstToken, SlowTokens };
 
