--- a/src/bench/moveoutcomes.cpp
+++ b/src/bench/moveoutcomes.cpp
@@ -327,7 +327,7 @@
     {
         request.hasFirstToken = true;
         if (!request.fails) {
-            m_vms[request.vm].counters.waitedForFirstToken(request.key, request.passed, m_now - request.sentAt);
+            m_vms[request.vm].counters.recordFirstTokenWait(request.key, request.passed, m_now - request.sentAt);
         }
         if (request.affected && !m_firstBadAt) {
             m_firstBadAt = m_now;
@@ -351,7 +351,7 @@
         std::erase_if(vm.awaiting, [&](std::size_t index) {
             RunningRequest &request = m_running[index];
             if (!request.hasFirstToken) {
-                vm.counters.waitedForFirstToken(request.key, request.passed, m_now - request.sentAt);
+                vm.counters.recordFirstTokenWait(request.key, request.passed, m_now - request.sentAt);
             }
             return request.hasFirstToken;
         });
--- a/src/entry/versiontraffic.cpp
+++ b/src/entry/versiontraffic.cpp
@@ -92,7 +92,7 @@
     }
     Running &running = found->second;
     if (!running.hasFirstToken) {
-        m_counters.waitedForFirstToken(running.key, running.passed, now - running.sentAt);
+        m_counters.recordFirstTokenWait(running.key, running.passed, now - running.sentAt);
         running.hasFirstToken = true;
         running.firstTokenAt = now;
     }
@@ -175,7 +175,7 @@
 {
     for (auto &[id, running] : m_running) {
         if (!running.hasFirstToken) {
-            m_counters.waitedForFirstToken(running.key, running.passed, now - running.sentAt);
+            m_counters.recordFirstTokenWait(running.key, running.passed, now - running.sentAt);
         }
     }
     return toWire(m_vm, m_incarnation, ++m_sequence, m_counters.counts());
--- a/src/policy/outcomecounters.cpp
+++ b/src/policy/outcomecounters.cpp
@@ -69,7 +69,7 @@
     ++m_counts[key].sent;
 }
 
-void OutcomeCounters::waitedForFirstToken(const OutcomeKey &key, std::uint8_t &passed, Duration waited)
+void OutcomeCounters::recordFirstTokenWait(const OutcomeKey &key, std::uint8_t &passed, Duration waited)
 {
     if (passed >= WaitBounds || waited <= firstTokenBound(passed)) {
         return;
--- a/src/policy/outcomecounters.h
+++ b/src/policy/outcomecounters.h
@@ -77,7 +77,7 @@
 public:
     void sent(const OutcomeKey &key);
     /// A request still waits for its first token, or has just got it. "passed" is the request's own count of bounds passed so far.
-    void waitedForFirstToken(const OutcomeKey &key, std::uint8_t &passed, Duration waited);
+    void recordFirstTokenWait(const OutcomeKey &key, std::uint8_t &passed, Duration waited);
     /// The mean time between an answer's first tokens, PaceTokens of them or fewer if it has fewer. Not the whole answer: a slow engine
     /// would show itself only when its answers end.
     void betweenTokens(const OutcomeKey &key, Duration mean);
--- a/tests/policy/movepolicytest.cpp
+++ b/tests/policy/movepolicytest.cpp
@@ -77,8 +77,8 @@
 {
     OutcomeCounters counters;
     std::uint8_t passed = 0;
-    counters.waitedForFirstToken(key(New), passed, std::chrono::milliseconds(25));
-    counters.waitedForFirstToken(key(New), passed, std::chrono::milliseconds(45));
+    counters.recordFirstTokenWait(key(New), passed, std::chrono::milliseconds(25));
+    counters.recordFirstTokenWait(key(New), passed, std::chrono::milliseconds(45));
     const OutcomeCounts &counts = counters.counts().at(key(New));
     CHECK(passed == 3);
     CHECK(counts.firstTokenOver[0] == 1);
