--- a/src/bench/moveoutcomes.cpp
+++ b/src/bench/moveoutcomes.cpp
@@ -191,7 +191,7 @@
             firstToken(m_running[event.subject]);
             break;
         case Event::Kind::Paced:
-            m_vms[m_running[event.subject].vm].counters.betweenTokens(m_running[event.subject].key, seconds(m_running[event.subject].pace));
+            m_vms[m_running[event.subject].vm].counters.recordTokenInterval(m_running[event.subject].key, seconds(m_running[event.subject].pace));
             break;
         case Event::Kind::End:
             end(m_running[event.subject]);
--- a/src/entry/versiontraffic.cpp
+++ b/src/entry/versiontraffic.cpp
@@ -105,7 +105,7 @@
 {
     running.hasPace = true;
     if (tokens > 1) {
-        m_counters.betweenTokens(running.key, (now - running.firstTokenAt) / static_cast<std::int64_t>(tokens - 1));
+        m_counters.recordTokenInterval(running.key, (now - running.firstTokenAt) / static_cast<std::int64_t>(tokens - 1));
     }
 }
 
--- a/src/policy/outcomecounters.cpp
+++ b/src/policy/outcomecounters.cpp
@@ -80,7 +80,7 @@
     }
 }
 
-void OutcomeCounters::betweenTokens(const OutcomeKey &key, Duration mean)
+void OutcomeCounters::recordTokenInterval(const OutcomeKey &key, Duration mean)
 {
     OutcomeCounts &counts = m_counts[key];
     for (std::size_t k = 0; k < WaitBounds && (k == 0 || mean > betweenTokensBound(k)); ++k) {
--- a/src/policy/outcomecounters.h
+++ b/src/policy/outcomecounters.h
@@ -80,7 +80,7 @@
     void recordFirstTokenWait(const OutcomeKey &key, std::uint8_t &passed, Duration waited);
     /// The mean time between an answer's first tokens, PaceTokens of them or fewer if it has fewer. Not the whole answer: a slow engine
     /// would show itself only when its answers end.
-    void betweenTokens(const OutcomeKey &key, Duration mean);
+    void recordTokenInterval(const OutcomeKey &key, Duration mean);
     OutcomeCounts &ended(const OutcomeKey &key)
     {
         return m_counts[key];
