--- a/src/bench/moveoutcomes.cpp
+++ b/src/bench/moveoutcomes.cpp
@@ -291,7 +291,7 @@
         m_vms[vm].awaiting.push_back(m_running.size());
         push(request.firstTokenAt, Event::Kind::FirstToken, m_running.size());
         if (!request.fails) {
-            push(std::min(request.endAt, request.firstTokenAt + seconds(request.pace * PaceTokens)), Event::Kind::Paced, m_running.size());
+            push(std::min(request.endAt, request.firstTokenAt + seconds(request.pace * PaceSampleTokens)), Event::Kind::Paced, m_running.size());
         }
         push(request.endAt, Event::Kind::End, m_running.size());
         m_running.push_back(std::move(request));
--- a/src/entry/versiontraffic.cpp
+++ b/src/entry/versiontraffic.cpp
@@ -96,7 +96,7 @@
         running.hasFirstToken = true;
         running.firstTokenAt = now;
     }
-    if (tokens > PaceTokens) {
+    if (tokens > PaceSampleTokens) {
         countPace(running, tokens, now);
     }
 }
--- a/src/policy/outcomecounters.h
+++ b/src/policy/outcomecounters.h
@@ -14,7 +14,7 @@
 
 constexpr std::size_t WaitBounds = 24;
 /// Tokens after the first that an answer's pace is taken from.
-constexpr std::uint32_t PaceTokens = 16;
+constexpr std::uint32_t PaceSampleTokens = 16;
 
 /// Bound k of the waits for a first token: 20 ms, and each bound 1.41 times the one before, up to 58 s.
 Duration firstTokenBound(std::size_t k);
@@ -78,7 +78,7 @@
     void sent(const OutcomeKey &key);
     /// A request still waits for its first token, or has just got it. "passed" is the request's own count of bounds passed so far.
     void recordFirstTokenWait(const OutcomeKey &key, std::uint8_t &passed, Duration waited);
-    /// The mean time between an answer's first tokens, PaceTokens of them or fewer if it has fewer. Not the whole answer: a slow engine
+    /// The mean time between an answer's first tokens, PaceSampleTokens of them or fewer if it has fewer. Not the whole answer: a slow engine
     /// would show itself only when its answers end.
     void recordTokenInterval(const OutcomeKey &key, Duration mean);
     OutcomeCounts &ended(const OutcomeKey &key)
