--- a/src/policy/moveverdict.cpp
+++ b/src/policy/moveverdict.cpp
@@ -41,14 +41,14 @@
 /// Waits are compared in strata where the old version has shown at least this many, recently.
 constexpr double LeastRecent = 20;
 
-std::size_t boundFor(const std::array<double, WaitBounds> &over, double sent)
+std::size_t boundFor(const std::array<double, WaitBoundCount> &over, double sent)
 {
-    for (std::size_t k = 0; k + 3 < WaitBounds; ++k) {
+    for (std::size_t k = 0; k + 3 < WaitBoundCount; ++k) {
         if (over[k] <= WantedTail * sent) {
             return k;
         }
     }
-    return WaitBounds - 3;
+    return WaitBoundCount - 3;
 }
 
 /// Logarithms of the binomial likelihood ratios: "events are `effect` times as likely on the new version" against "equally likely".
@@ -245,7 +245,7 @@
 {
     sent *= RecentFade;
     bad *= RecentFade;
-    for (std::size_t k = 0; k < WaitBounds; ++k) {
+    for (std::size_t k = 0; k < WaitBoundCount; ++k) {
         firstTokenOver[k] *= RecentFade;
         betweenTokensOver[k] *= RecentFade;
     }
@@ -255,7 +255,7 @@
 {
     sent += static_cast<double>(counts.sent);
     bad += static_cast<double>(counts.bad());
-    for (std::size_t k = 0; k < WaitBounds; ++k) {
+    for (std::size_t k = 0; k < WaitBoundCount; ++k) {
         firstTokenOver[k] += static_cast<double>(counts.firstTokenOver[k]);
         betweenTokensOver[k] += static_cast<double>(counts.betweenTokensOver[k]);
     }
--- a/src/policy/moveverdict.h
+++ b/src/policy/moveverdict.h
@@ -125,8 +125,8 @@
     {
         double sent = 0;
         double bad = 0;
-        std::array<double, WaitBounds> firstTokenOver{};
-        std::array<double, WaitBounds> betweenTokensOver{};
+        std::array<double, WaitBoundCount> firstTokenOver{};
+        std::array<double, WaitBoundCount> betweenTokensOver{};
 
         void fade();
         void add(const OutcomeCounts &counts);
--- a/src/policy/outcomecounters.cpp
+++ b/src/policy/outcomecounters.cpp
@@ -10,9 +10,9 @@
 {
 
 /// The bounds as a table: half octaves from a first value.
-std::array<Duration, WaitBounds> halfOctavesFrom(Duration first)
+std::array<Duration, WaitBoundCount> halfOctavesFrom(Duration first)
 {
-    std::array<Duration, WaitBounds> bounds{};
+    std::array<Duration, WaitBoundCount> bounds{};
     for (std::size_t k = 0; k < bounds.size(); ++k) {
         bounds[k] = Duration(std::llround(static_cast<double>(first.count()) * std::exp2(static_cast<double>(k) / 2)));
     }
@@ -23,13 +23,13 @@
 
 Duration firstTokenBound(std::size_t k)
 {
-    static const std::array<Duration, WaitBounds> Bounds = halfOctavesFrom(std::chrono::milliseconds(20));
+    static const std::array<Duration, WaitBoundCount> Bounds = halfOctavesFrom(std::chrono::milliseconds(20));
     return Bounds.at(k);
 }
 
 Duration betweenTokensBound(std::size_t k)
 {
-    static const std::array<Duration, WaitBounds> Bounds = halfOctavesFrom(std::chrono::milliseconds(1));
+    static const std::array<Duration, WaitBoundCount> Bounds = halfOctavesFrom(std::chrono::milliseconds(1));
     return Bounds.at(k);
 }
 
@@ -41,7 +41,7 @@
     failed += other.failed;
     refused += other.refused;
     unknown += other.unknown;
-    for (std::size_t k = 0; k < WaitBounds; ++k) {
+    for (std::size_t k = 0; k < WaitBoundCount; ++k) {
         firstTokenOver[k] += other.firstTokenOver[k];
         betweenTokensOver[k] += other.betweenTokensOver[k];
     }
@@ -57,7 +57,7 @@
     growth.failed -= earlier.failed;
     growth.refused -= earlier.refused;
     growth.unknown -= earlier.unknown;
-    for (std::size_t k = 0; k < WaitBounds; ++k) {
+    for (std::size_t k = 0; k < WaitBoundCount; ++k) {
         growth.firstTokenOver[k] -= earlier.firstTokenOver[k];
         growth.betweenTokensOver[k] -= earlier.betweenTokensOver[k];
     }
@@ -71,11 +71,11 @@
 
 void OutcomeCounters::recordFirstTokenWait(const OutcomeKey &key, std::uint8_t &passed, Duration waited)
 {
-    if (passed >= WaitBounds || waited <= firstTokenBound(passed)) {
+    if (passed >= WaitBoundCount || waited <= firstTokenBound(passed)) {
         return;
     }
     OutcomeCounts &counts = m_counts[key];
-    while (passed < WaitBounds && waited > firstTokenBound(passed)) {
+    while (passed < WaitBoundCount && waited > firstTokenBound(passed)) {
         ++counts.firstTokenOver[passed++];
     }
 }
@@ -83,7 +83,7 @@
 void OutcomeCounters::recordTokenInterval(const OutcomeKey &key, Duration mean)
 {
     OutcomeCounts &counts = m_counts[key];
-    for (std::size_t k = 0; k < WaitBounds && (k == 0 || mean > betweenTokensBound(k)); ++k) {
+    for (std::size_t k = 0; k < WaitBoundCount && (k == 0 || mean > betweenTokensBound(k)); ++k) {
         ++counts.betweenTokensOver[k];
     }
 }
--- a/src/policy/outcomecounters.h
+++ b/src/policy/outcomecounters.h
@@ -12,7 +12,7 @@
 namespace cumindyke
 {
 
-constexpr std::size_t WaitBounds = 24;
+constexpr std::size_t WaitBoundCount = 24;
 /// Tokens after the first that an answer's pace is taken from.
 constexpr std::uint32_t PaceSampleTokens = 16;
 
@@ -46,9 +46,9 @@
     std::uint64_t unknown = 0;
     /// Requests whose wait for the first token went over the bound. Counted when the bound is passed, not when the token comes, so that an
     /// engine that falls silent shows as a slow one without waiting for a timeout.
-    std::array<std::uint64_t, WaitBounds> firstTokenOver{};
+    std::array<std::uint64_t, WaitBoundCount> firstTokenOver{};
     /// Bound 0 counts every answer whose pace is known, whatever it is.
-    std::array<std::uint64_t, WaitBounds> betweenTokensOver{};
+    std::array<std::uint64_t, WaitBoundCount> betweenTokensOver{};
 
     OutcomeCounts &operator+=(const OutcomeCounts &other);
     /// The growth since an earlier reading of the same counters.
--- a/src/report/burnseries.cpp
+++ b/src/report/burnseries.cpp
@@ -42,7 +42,7 @@
 std::size_t boundAtLeast(Bound bound, Duration time)
 {
     std::size_t k = 0;
-    while (k + 1 < WaitBounds && bound(k) < time) {
+    while (k + 1 < WaitBoundCount && bound(k) < time) {
         ++k;
     }
     return k;
--- a/src/report/outcomereport.cpp
+++ b/src/report/outcomereport.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-using Bounds = std::array<std::uint64_t, WaitBounds>;
+using Bounds = std::array<std::uint64_t, WaitBoundCount>;
 using WireBounds = google::protobuf::RepeatedField<std::uint64_t>;
 
 /// Counts over higher bounds are never larger, so all zeros are at the end.
