--- a/src/entry/dispatcher.cpp
+++ b/src/entry/dispatcher.cpp
@@ -129,7 +129,7 @@
         if (!m_versions || !service) {
             continue;
         }
-        for (const PendingRequest *waiting : queue.inOrder(ServedAtOnce)) {
+        for (const PendingRequest *waiting : queue.inOrder(MaxServedPerPass)) {
             if (waiting->version.value.empty()) {
                 continue;
             }
