--- a/src/bench/cumindykepolicy.cpp
+++ b/src/bench/cumindykepolicy.cpp
@@ -191,7 +191,7 @@
     }
     Vm &vm = m_vms[index];
     for (auto &[service, queue] : vm.queues) {
-        for (const PendingRequest &hopeless : takeHopeless(queue, vm.book, service, now)) {
+        for (const PendingRequest &hopeless : shedRequests(queue, vm.book, service, now)) {
             m_world.shed(m_world.requests()[m_indexes.at(hopeless.id)], now);
         }
     }
--- a/src/entry/dispatcher.cpp
+++ b/src/entry/dispatcher.cpp
@@ -145,11 +145,11 @@
     }
 }
 
-std::vector<PendingRequest> Dispatcher::takeHopeless(TimePoint now)
+std::vector<PendingRequest> Dispatcher::shedRequests(TimePoint now)
 {
     std::vector<PendingRequest> all;
     for (auto &[service, queue] : m_queues) {
-        for (PendingRequest &request : cumindyke::takeHopeless(queue, m_capacity, service, now)) {
+        for (PendingRequest &request : cumindyke::shedRequests(queue, m_capacity, service, now)) {
             all.push_back(std::move(request));
         }
     }
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -47,7 +47,7 @@
     /// Lets upstreams whose pause is over back in. Call it often.
     void refresh(TimePoint now);
     /// Takes out the requests that can't finish before their deadline any more, and those that make room for higher tiers.
-    std::vector<PendingRequest> takeHopeless(TimePoint now);
+    std::vector<PendingRequest> shedRequests(TimePoint now);
     /// Whether requests of the service and tier are refused at their arrival, to make room for higher tiers.
     bool refuses(const ServiceName &service, TierRank tier, TimePoint now) const;
     void takeGrants(const Grants &grants, TimePoint now);
--- a/src/entry/entrytask.cpp
+++ b/src/entry/entrytask.cpp
@@ -292,7 +292,7 @@
 {
     const TimePoint now = EventLoop::now();
     m_dispatcher.refresh(now);
-    for (const PendingRequest &hopeless : m_dispatcher.takeHopeless(now)) {
+    for (const PendingRequest &hopeless : m_dispatcher.shedRequests(now)) {
         const bool late = now >= hopeless.deadline;
         giveUp(hopeless.id,
                late ? Error{ErrorKind::DeadlinePassed, "no upstream had room before the deadline: allow more time or try again later"}
--- a/src/policy/shedding.h
+++ b/src/policy/shedding.h
@@ -53,7 +53,7 @@
 /// A request is refused when it can no longer finish in time even on the best upstream, so that no prefill is spent on it; but not
 /// while a lower tier waits anywhere in its cells: then the lower tiers are refused first, everywhere. Past its deadline it goes in any case.
 template<FloorSource Source>
-std::vector<PendingRequest> takeHopeless(PendingQueue &queue, Source &source, const ServiceName &service, TimePoint now)
+std::vector<PendingRequest> shedRequests(PendingQueue &queue, Source &source, const ServiceName &service, TimePoint now)
 {
     // Step 1. What the cells say is to be refused for the sake of higher tiers.
     std::vector<PendingRequest> refused;
--- a/tests/cell/schedulertest.cpp
+++ b/tests/cell/schedulertest.cpp
@@ -262,8 +262,8 @@
     request.answerTokens = TokenCount{10'000};
     CHECK(feasibleAnswer(bench.books[0], request, at(0s)) == TokenCount{10'000});
     bench.queues[0].add(request);
-    CHECK(takeHopeless(bench.queues[0], bench.books[0], Drafting, at(59s)).empty());
-    CHECK(takeHopeless(bench.queues[0], bench.books[0], Drafting, at(60s)).size() == 1);
+    CHECK(shedRequests(bench.queues[0], bench.books[0], Drafting, at(59s)).empty());
+    CHECK(shedRequests(bench.queues[0], bench.books[0], Drafting, at(60s)).size() == 1);
 
     bench.queues[0].add(request);
     bench.report(0, bench.scheduler, at(1ms));
