--- a/src/cell/celldecision.cpp
+++ b/src/cell/celldecision.cpp
@@ -170,7 +170,7 @@
         .tier = line.tier,
         .expires = GrantExpiry,
         .key = line.key,
-        .perToken = Duration(upstream.speedLearned ? static_cast<Duration::rep>(upstream.tokenMicroseconds) : 0),
+        .perToken = Duration(upstream.speedMeasured ? static_cast<Duration::rep>(upstream.tokenMicroseconds) : 0),
     });
     return true;
 }
@@ -225,7 +225,7 @@
     vm.answerDue = false;
     double token = std::numeric_limits<double>::max();
     for (const UpstreamState &upstream : m_upstreams) {
-        token = upstream.usable && upstream.speedLearned ? std::min(token, upstream.tokenMicroseconds) : token;
+        token = upstream.usable && upstream.speedMeasured ? std::min(token, upstream.tokenMicroseconds) : token;
     }
     token = token == std::numeric_limits<double>::max() ? 0 : token;
     return Grants{
--- a/src/cell/cellscheduler.cpp
+++ b/src/cell/cellscheduler.cpp
@@ -266,7 +266,7 @@
     const auto tokens = static_cast<double>(load.generatedTokens - last.generatedTokens);
     const double measured = static_cast<double>((load.at - last.at).count()) * sequences / tokens;
     double &token = m_upstreams[index].tokenMicroseconds;
-    token = std::exchange(m_upstreams[index].speedLearned, true) ? token + SpeedGain * (measured - token) : measured;
+    token = std::exchange(m_upstreams[index].speedMeasured, true) ? token + SpeedGain * (measured - token) : measured;
 }
 
 void CellScheduler::takeCacheEvent(const UpstreamName &upstream, std::uint64_t prefix, bool stored)
--- a/src/microbench/microbench.cpp
+++ b/src/microbench/microbench.cpp
@@ -25,7 +25,7 @@
             .window = 32,
             .inFlight = number * 7 % 32,
             .tokenMicroseconds = 20'000.0 + 37 * (number % 100),
-            .speedLearned = true,
+            .speedMeasured = true,
         });
     }
     return upstreams;
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -61,7 +61,7 @@
         // Step 2. The time of that and of the answer, at the upstream's learned speed.
         const double token = options.useSpeeds ? upstream.tokenMicroseconds : DefaultTokenMicroseconds;
         double finish = prompt * token / PrefillTokensPerToken + request.answer.value * token;
-        if (options.respectDeadline && upstream.speedLearned && finish > left) {
+        if (options.respectDeadline && upstream.speedMeasured && finish > left) {
             continue;
         }
         // Step 3. With time to spare, an upstream that has the prefix cached goes first: a miss would hold up everything that runs there.
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -30,7 +30,7 @@
     std::uint32_t longInFlight = 0;
     double tokenMicroseconds = DefaultTokenMicroseconds;
     /// Whether the speed was measured. On a guess nothing is held back, or a fast engine would never be measured.
-    bool speedLearned = false;
+    bool speedMeasured = false;
     /// Prompt tokens granted and probably not prefilled yet, as of backlogAt.
     double prefillBacklog = 0;
     TimePoint backlogAt;
--- a/tests/policy/allocationtest.cpp
+++ b/tests/policy/allocationtest.cpp
@@ -46,7 +46,7 @@
 
 TEST_CASE("a placement among 50 upstreams allocates nothing")
 {
-    std::vector<UpstreamState> upstreams(50, UpstreamState{.slots = 32, .window = 32, .speedLearned = true});
+    std::vector<UpstreamState> upstreams(50, UpstreamState{.slots = 32, .window = 32, .speedMeasured = true});
     PrefixIndex prefixes(1000);
     prefixes.stored(7, 3);
     const std::uint64_t before = allocations;
--- a/tests/policy/pendingqueuetest.cpp
+++ b/tests/policy/pendingqueuetest.cpp
@@ -64,8 +64,8 @@
 TEST_CASE("placement prefers the upstream where the request finishes first and skips one that is too slow")
 {
     std::vector<UpstreamState> upstreams{
-        {.slots = 8, .window = 8, .tokenMicroseconds = 60'000, .speedLearned = true},
-        {.slots = 8, .window = 8, .tokenMicroseconds = 20'000, .speedLearned = true},
+        {.slots = 8, .window = 8, .tokenMicroseconds = 60'000, .speedMeasured = true},
+        {.slots = 8, .window = 8, .tokenMicroseconds = 20'000, .speedMeasured = true},
     };
     PlacementRequest request{.prompt = TokenCount{100}, .answer = TokenCount{100}, .deadline = TimePoint(4s)};
     CHECK(choosePlacement(upstreams, request, {}, TimePoint{}) == 1U);
@@ -75,7 +75,7 @@
     CHECK(choosePlacement(upstreams, request, {}, TimePoint{}) == 0U);
     // A speed that nobody measured keeps nothing from running.
     request.deadline = TimePoint(1ms);
-    upstreams[0].speedLearned = false;
+    upstreams[0].speedMeasured = false;
     CHECK(choosePlacement(upstreams, request, {}, TimePoint{}) == 0U);
 }
 
