--- a/src/microbench/microbench.cpp
+++ b/src/microbench/microbench.cpp
@@ -80,7 +80,7 @@
     for (auto _ : state) {
         queue.add(makePending(number++));
         const RequestId first = queue.first()->id;
-        queue.take(first);
+        queue.dequeue(first);
     }
 }
 BENCHMARK(queueAddAndTake)->Arg(10)->Arg(50)->Arg(500)->Arg(2500);
--- a/src/policy/pendingqueue.cpp
+++ b/src/policy/pendingqueue.cpp
@@ -69,7 +69,7 @@
     return true;
 }
 
-bool PendingQueue::take(const RequestId &id)
+bool PendingQueue::dequeue(const RequestId &id)
 {
     const auto found = m_requests.find(id);
     if (found == m_requests.end()) {
--- a/src/policy/pendingqueue.h
+++ b/src/policy/pendingqueue.h
@@ -43,7 +43,7 @@
     /// False when the request is not waiting.
     bool remove(const RequestId &id);
     /// Like remove(), and counts the request's work as served for its organisation.
-    bool take(const RequestId &id);
+    bool dequeue(const RequestId &id);
     /// The request that capacity should go to next, or null.
     const PendingRequest *first() const;
     /// At most count requests, in the order of tiers; inside a tier the organisations in turn, of each the earliest deadlines.
--- a/src/policy/servequeue.h
+++ b/src/policy/servequeue.h
@@ -26,7 +26,7 @@
             continue;
         }
         const PendingRequest request = *waiting;
-        queue.take(request.id);
+        queue.dequeue(request.id);
         dispatch(request, *slot);
     }
 }
--- a/tests/cell/schedulertest.cpp
+++ b/tests/cell/schedulertest.cpp
@@ -291,7 +291,7 @@
     bench.deliver(bench.scheduler, at(2ms));
     auto slot = bench.acquire(0, pending("first", 2), at(3ms));
     REQUIRE(slot);
-    bench.queues[0].take(RequestId{"first"});
+    bench.queues[0].dequeue(RequestId{"first"});
     for (int i = 0; i < 5; ++i) {
         bench.books[0].release(*slot, at(4ms + 1ms * i));
         slot = bench.acquire(0, pending("next", 2), at(4ms + 1ms * i));
--- a/tests/policy/pendingqueuetest.cpp
+++ b/tests/policy/pendingqueuetest.cpp
@@ -37,7 +37,7 @@
     queue.add(pending("late", 0, "a", 9s));
     queue.add(pending("soon", 0, "a", 5s));
     CHECK(firstOf(queue) == "soon");
-    CHECK(queue.take(RequestId{"soon"}));
+    CHECK(queue.dequeue(RequestId{"soon"}));
     CHECK(firstOf(queue) == "late");
     CHECK(queue.lowestTier() == TierRank{2});
     CHECK(queue.takeFrom(TierRank{1}).size() == 1);
@@ -56,7 +56,7 @@
     }
     queue.add(pending("elder", 1, "elders", 20s));
     CHECK(firstOf(queue) == "hall-0");
-    queue.take(RequestId{"hall-0"});
+    queue.dequeue(RequestId{"hall-0"});
     CHECK(firstOf(queue) == "elder");
     CHECK(queue.inOrder(2).size() == 2);
 }
