--- a/src/cell/celldecision.cpp
+++ b/src/cell/celldecision.cpp
@@ -159,7 +159,7 @@
     upstream.addBacklog(line.prompt.value * (cached ? 0.5 : 1.0), now);
     ++upstream.inFlight;
     upstream.longInFlight += longWork ? 1 : 0;
-    m_prefixes.stored(line.prefix, *chosen);
+    m_prefixes.recordStored(line.prefix, *chosen);
     --line.count;
     Vm &vm = m_vms[line.vm];
     vm.unseen.push_back(Unseen{.number = vm.grantsSent + 1, .upstream = *chosen, .key = line.key, .isLong = longWork, .until = now + UnseenExpiry});
--- a/src/cell/cellscheduler.cpp
+++ b/src/cell/cellscheduler.cpp
@@ -96,7 +96,7 @@
     }
     m_upstreams[*index].usable = usable;
     if (!usable) {
-        m_prefixes.forget(*index);
+        m_prefixes.removeUpstream(*index);
     }
 }
 
@@ -275,7 +275,7 @@
     if (!index || !m_options.useCacheEvents) {
         return;
     }
-    stored ? m_prefixes.stored(prefix, *index) : m_prefixes.evicted(prefix, *index);
+    stored ? m_prefixes.recordStored(prefix, *index) : m_prefixes.recordEvicted(prefix, *index);
 }
 
 bool CellScheduler::waitsForReports(TimePoint now) const
--- a/src/cell/grantpool.cpp
+++ b/src/cell/grantpool.cpp
@@ -421,7 +421,7 @@
         // Step 1. Grants that nobody here could use go back, for another VM may wait for them.
         giveBack(cell, cell.keep == Duration::zero(), now);
         // Step 2. Says what waits, when the scheduler does not know it yet.
-        Demand demand{.cell = cell.name, .vm = m_vm, .lines = lines(i, queue, serviceVersion, now), .lowestWaiting = queue.lowestTier()};
+        Demand demand{.cell = cell.name, .vm = m_vm, .lines = lines(i, queue, serviceVersion, now), .lowestWaiting = queue.lowestPendingTier()};
         demand.mustShed = mustShed == m_mustShed.end() ? std::nullopt : mustShed->second;
         constexpr std::uint64_t AfterRanks = 256;
         std::uint64_t linesNow
--- a/src/policy/capacity.h
+++ b/src/policy/capacity.h
@@ -9,24 +9,24 @@
 namespace cumindyke
 {
 
-/// Leave to send one request to one upstream.
+/// The right to send one request to one upstream.
 struct Slot
 {
     UpstreamName upstream;
-    /// The grant it came from; 0 when it came from no scheduler.
+    /// Number under which the capacity source tracks the slot; 0 when the source does not track slots one by one.
     std::uint64_t grant = 0;
 };
 
-/// Where an entry VM's capacity comes from: a cell's grants, or this VM's own count of what it has in flight.
+/// Supplies an entry VM with slots, from the grants of the cells' schedulers or from this VM's own count of its requests in flight.
 template<typename T>
 concept CapacitySource
     = requires(T source, const PendingRequest &request, const Declarations &declarations, const VersionName &version, const Slot &slot, TimePoint now)
 {
-    // A slot for the request on an upstream of the version, or nothing for now.
+    // Returns a slot for the request on an upstream of the version, or nothing while none is free.
     {
         source.acquire(request, declarations, version, now)
         } -> std::same_as<std::optional<Slot>>;
-    // The request that used the slot has ended, or never went out.
+    // Returns a slot whose request has ended or was never sent.
     source.release(slot, now);
 };
 
--- a/src/policy/leastoutstanding.cpp
+++ b/src/policy/leastoutstanding.cpp
@@ -6,15 +6,15 @@
 std::optional<Slot> LeastOutstanding::acquire(const PendingRequest &request, const Declarations &declarations, const VersionName &version, TimePoint /*now*/)
 {
     const Upstream *best = nullptr;
-    double bestShare = 1;
+    double lowestUtilisation = 1;
     for (const auto &[name, upstream] : declarations.upstreams()) {
         if (upstream.service != request.service || upstream.version != version) {
             continue;
         }
-        const double share = static_cast<double>(inFlight(name)) / upstream.slots;
-        if (share < bestShare) {
+        const double utilisation = static_cast<double>(inFlight(name)) / upstream.slots;
+        if (utilisation < lowestUtilisation) {
             best = &upstream;
-            bestShare = share;
+            lowestUtilisation = utilisation;
         }
     }
     if (!best) {
--- a/src/policy/leastoutstanding.h
+++ b/src/policy/leastoutstanding.h
@@ -7,8 +7,8 @@
 namespace cumindyke
 {
 
-/// Requests in flight per upstream, as this VM knows them; gives a slot on the upstream with the smallest part of its slots in use.
-/// The baseline that needs no coordination.
+/// Counts this VM's requests in flight per upstream and grants a slot on the upstream with the smallest share of its slots in use.
+/// This is the baseline policy: it needs no coordination between VMs.
 class LeastOutstanding
 {
 public:
--- a/src/policy/lengthestimate.h
+++ b/src/policy/lengthestimate.h
@@ -9,25 +9,26 @@
 namespace cumindyke
 {
 
-/// Predicts how long an answer may get, in tokens, from those before it on the same service and route: a high quantile. Callers' limits
-/// say something of the length: how much of a limit is used is learned apart.
+/// Predicts the length of an answer in tokens as a high quantile of the earlier answers on the same service and route. A caller's limit
+/// is evidence of the length too, so the used share of the limit is estimated separately.
 class LengthEstimate
 {
 public:
-    /// The limit is 0 when the caller gave none.
+    /// Returns the predicted length of an answer. The limit is 0 when the caller gave none.
     TokenCount answer(const ServiceName &service, const std::string &route, TokenCount limit) const;
+    /// Records the length of a finished answer.
     void recordAnswer(const ServiceName &service, const std::string &route, TokenCount limit, TokenCount answer);
 
 private:
-    struct Learned
+    struct Quantiles
     {
         double length = 64;
-        double partOfLimit = 0.5;
-        std::uint32_t lengths = 0;
-        std::uint32_t parts = 0;
+        double limitShare = 0.5;
+        std::uint32_t lengthCount = 0;
+        std::uint32_t limitShareCount = 0;
     };
 
-    std::map<std::pair<ServiceName, std::string>, Learned> m_learned;
+    std::map<std::pair<ServiceName, std::string>, Quantiles> m_quantiles;
 };
 
 }
--- a/src/policy/moveverdict.cpp
+++ b/src/policy/moveverdict.cpp
@@ -10,53 +10,57 @@
 namespace
 {
 
-/// A good version may be taken back in one move of this many. The bar is 200; the rest covers what the model leaves out.
-constexpr double OneWrongIn = 400;
-/// Kinds of fault share the prior evenly, and so do the ways to group the strata.
+/// Evidence at which the new version is rolled back: a good version is rolled back in at most one move of this many. The requirement is
+/// 200; the rest is a margin for what the model leaves out.
+constexpr double FindingThreshold = 400;
+/// The prior is divided evenly among the kinds of fault, and again among the ways to group the strata.
 constexpr double KindPrior = 0.25;
 constexpr double GroupingPrior = 1.0 / 7;
-/// Routes, length classes or load classes that get a part of their grouping's prior; later ones get none.
-constexpr std::size_t MostGroups = 4;
-/// Versions are compared over all loads while the new one's mean load class is at most this much higher: else a fleet that is short of
-/// room, whose old version has idle upstreams, would look like a slow new version.
-constexpr double MostLoadDifference = 1.25;
-/// Stands in a stratum's load class for all of them together.
+/// Number of routes, length classes or load classes that share their grouping's prior; further ones get none.
+constexpr std::size_t MaxGroupsPerGrouping = 4;
+/// Versions are compared over all loads only while the new version's mean load class is at most this much higher than the old version's.
+/// Otherwise a fleet that is short of slots, while the old version has idle upstreams, would look like a slow new version.
+constexpr double MaxLoadClassDifference = 1.25;
+/// Load class of a stratum that covers all load classes.
 constexpr std::uint8_t AnyLoad = 0xff;
-/// Half of the prior on "from the start".
-constexpr double StartPrior = 0.5;
-/// Odds by which a bad version's events exceed the old one's.
+/// Share of the prior on faults that exist from the start of the move; the rest is spread over later starting times.
+constexpr double FromStartPrior = 0.5;
+/// Alternatives tested: how many times as likely an event is on a bad version as on the old one.
 constexpr std::array<double, 3> EffectSizes{2.5, 6, 30};
-/// Rates of a version that plainly fails.
-constexpr std::array<double, 3> PlainRates{0.1, 0.4, 0.95};
-/// A version that fails less than this is not plainly failing, whatever the old one does.
-constexpr double ToleratedRate = 0.005;
-/// Requests and events fade by this a look: a time constant of about two seconds at four looks a second.
-constexpr double ExposureFade = 0.88;
-/// The same for answers whose pace was measured: about half a second, so that both versions have some in most looks.
-constexpr double PacedFade = 0.65;
-/// The old version's distribution of waits fades over about two minutes.
-constexpr double RecentFade = 0.998;
-/// Part of the old version's waits that lie over the bound that is compared.
-constexpr double WantedTail = 0.125;
-/// Waits are compared in strata where the old version has shown at least this many, recently.
-constexpr double LeastRecent = 20;
+/// Alternatives tested: failure rates of a faulty version.
+constexpr std::array<double, 3> FailureRates{0.1, 0.4, 0.95};
+/// A failure rate up to this is tolerated, whatever the old version's rate.
+constexpr double ToleratedFailureRate = 0.005;
+/// Decay per update of the recently sent requests: a time constant of about two seconds at four updates a second.
+constexpr double ExposureDecay = 0.88;
+/// Decay per update of the answers whose pace was measured: about half a second, so that both versions have some in most updates.
+constexpr double PacedDecay = 0.65;
+/// Decay per update of the old version's distribution of waits: a time constant of about two minutes.
+constexpr double BaselineDecay = 0.998;
+/// Share of the old version's waits that exceed the bound chosen for the comparison.
+constexpr double TargetTailShare = 0.125;
+/// Recent requests of the old version that a stratum needs before waits are compared in it; with fewer, the baseline of all strata is used.
+constexpr double MinBaselineRequests = 20;
 
-std::size_t boundFor(const std::array<double, WaitBoundCount> &over, double sent)
+/// Returns the lowest bound that at most the target share of the old version's waits exceeds. Leaves room for the higher bounds with which
+/// the new version's waits are compared.
+std::size_t baselineBound(const std::array<double, WaitBoundCount> &overBound, double sent)
 {
     for (std::size_t k = 0; k + 3 < WaitBoundCount; ++k) {
-        if (over[k] <= WantedTail * sent) {
+        if (overBound[k] <= TargetTailShare * sent) {
             return k;
         }
     }
     return WaitBoundCount - 3;
 }
 
-/// Logarithms of the binomial likelihood ratios: "events are `effect` times as likely on the new version" against "equally likely".
+/// Returns the logarithms of the binomial likelihood ratios of "events are `effect` times as likely on the new version" against "events are
+/// equally likely".
 std::array<double, 3> logSplitRatios(double newEvents, double oldEvents, double newSent, double oldSent)
 {
     std::array<double, 3> logs{};
     const double sum = newSent + oldSent;
-    // Without requests on both sides at the same time nothing can be compared.
+    // Without requests of both versions at the same time nothing can be compared.
     if (newSent < 0.5 || oldSent < 0.5) {
         return logs;
     }
@@ -67,13 +71,13 @@
     return logs;
 }
 
-/// Logarithms of the Poisson likelihood ratios: "fails at a plain rate" against "fails at the tolerated rate".
-std::array<double, 3> logPlainRatios(double failures, double sent, double tolerated)
+/// Returns the logarithms of the Poisson likelihood ratios of "fails at one of the failure rates" against "fails at the tolerated rate".
+std::array<double, 3> logFailureRateRatios(double failures, double sent, double toleratedRate)
 {
     std::array<double, 3> logs{};
     for (std::size_t i = 0; i < logs.size(); ++i) {
-        if (PlainRates[i] > 2 * tolerated) {
-            logs[i] = failures * std::log(PlainRates[i] / tolerated) - sent * (PlainRates[i] - tolerated);
+        if (FailureRates[i] > 2 * toleratedRate) {
+            logs[i] = failures * std::log(FailureRates[i] / toleratedRate) - sent * (FailureRates[i] - toleratedRate);
         }
     }
     return logs;
@@ -81,25 +85,25 @@
 
 }
 
-Look compareVersions(const OutcomeMap &growth, const ServiceName &service, const VersionName &from, const VersionName &to)
+Comparisons compareVersions(const OutcomeMap &outcomes, const ServiceName &service, const VersionName &from, const VersionName &to)
 {
-    Look look;
-    for (const auto &[key, counts] : growth) {
+    Comparisons comparisons;
+    for (const auto &[key, counts] : outcomes) {
         if (key.service != service || (key.version != from && key.version != to)) {
             continue;
         }
-        Comparison &comparison = look[Stratum{.route = key.route, .lengthClass = key.lengthClass, .loadClass = key.loadClass}];
+        Comparison &comparison = comparisons[Stratum{.route = key.route, .lengthClass = key.lengthClass, .loadClass = key.loadClass}];
         (key.version == to ? comparison.newVersion : comparison.oldVersion) += counts;
     }
-    return look;
+    return comparisons;
 }
 
 const char *toString(FaultKind kind)
 {
     switch (kind) {
-    case FaultKind::Fails:
+    case FaultKind::Failures:
         return "answers fail";
-    case FaultKind::FailsMore:
+    case FaultKind::ExcessFailures:
         return "answers fail more often than the old version's";
     case FaultKind::SlowFirstToken:
         return "first tokens come later than the old version's";
@@ -109,149 +113,158 @@
     return "unknown";
 }
 
-MoveVerdict::MoveVerdict(std::size_t looks)
-    : m_lookWeight((1 - StartPrior) / static_cast<double>(std::max<std::size_t>(1, looks)))
+MoveVerdict::MoveVerdict(std::size_t expectedUpdates)
+    : m_laterStartPrior((1 - FromStartPrior) / static_cast<double>(std::max<std::size_t>(1, expectedUpdates)))
 {
 }
 
-void MoveVerdict::look(const Look &look)
+void MoveVerdict::update(const Comparisons &comparisons)
 {
-    // Step 1. Requests that the events of this look may belong to: those of the last seconds.
+    // Step 1. Decay the recent requests: the events of this update belong to requests of the last seconds.
     for (auto &[stratum, exposure] : m_exposure) {
-        exposure.first *= ExposureFade;
-        exposure.second *= ExposureFade;
+        exposure.first *= ExposureDecay;
+        exposure.second *= ExposureDecay;
     }
-    for (auto &[stratum, paced] : m_paced) {
-        paced.first *= PacedFade;
-        paced.second *= PacedFade;
+    for (auto &[stratum, answers] : m_pacedAnswers) {
+        answers.first *= PacedDecay;
+        answers.second *= PacedDecay;
     }
-    FactorMap factors;
-    Look anyLoad;
-    for (const auto &[stratum, seen] : look) {
-        compare(factors, stratum, seen);
-        Comparison &merged = anyLoad[Stratum{.route = stratum.route, .lengthClass = stratum.lengthClass, .loadClass = AnyLoad}];
-        merged.oldVersion += seen.oldVersion;
-        merged.newVersion += seen.newVersion;
+    LogRatioMap logRatios;
+    Comparisons overAllLoads;
+    for (const auto &[stratum, comparison] : comparisons) {
+        addEvidence(logRatios, stratum, comparison);
+        Comparison &merged = overAllLoads[Stratum{.route = stratum.route, .lengthClass = stratum.lengthClass, .loadClass = AnyLoad}];
+        merged.oldVersion += comparison.oldVersion;
+        merged.newVersion += comparison.newVersion;
     }
-    noteLoads(look);
-    if (m_newLoad <= m_oldLoad + MostLoadDifference) {
-        for (const auto &[stratum, seen] : anyLoad) {
-            compare(factors, stratum, seen);
+    recordLoadClasses(comparisons);
+    if (m_newLoadClass <= m_oldLoadClass + MaxLoadClassDifference) {
+        for (const auto &[stratum, comparison] : overAllLoads) {
+            addEvidence(logRatios, stratum, comparison);
         }
     }
 
-    // Step 2. Each martingale gets its part of the prior that starts now, then this look's ratio.
-    const double starting = m_firstLook ? StartPrior : m_lookWeight;
-    m_firstLook = false;
+    // Step 2. Add to each martingale the prior of a fault that starts now, then multiply by this update's likelihood ratio.
+    const double startingPrior = m_firstUpdate ? FromStartPrior : m_laterStartPrior;
+    m_firstUpdate = false;
     for (auto &[hypothesis, martingales] : m_martingales) {
-        for (double &started : martingales.started) {
-            started += starting;
+        for (double &mixture : martingales.mixtures) {
+            mixture += startingPrior;
         }
     }
-    for (const auto &[hypothesis, logs] : factors) {
+    for (const auto &[hypothesis, logs] : logRatios) {
         const auto [found, isNew] = m_martingales.try_emplace(hypothesis);
         Martingales &martingales = found->second;
         for (std::size_t i = 0; i < logs.size(); ++i) {
-            martingales.started[i] = std::min(1e30, (isNew ? StartPrior : martingales.started[i]) * std::exp(logs[i]));
+            martingales.mixtures[i] = std::min(1e30, (isNew ? FromStartPrior : martingales.mixtures[i]) * std::exp(logs[i]));
         }
     }
-    m_recentOfAll.fade();
-    for (auto &[stratum, recent] : m_recent) {
-        recent.fade();
+    m_overallBaseline.decay();
+    for (auto &[stratum, baseline] : m_baselines) {
+        baseline.decay();
     }
-    learnBounds(look);
-    learnBounds(anyLoad);
-    judge();
+    recordBaseline(comparisons);
+    recordBaseline(overAllLoads);
+    updateFinding();
 }
 
-void MoveVerdict::noteLoads(const Look &look)
+void MoveVerdict::recordLoadClasses(const Comparisons &comparisons)
 {
     double newSent = 0;
     double oldSent = 0;
-    double newLoads = 0;
-    double oldLoads = 0;
-    for (const auto &[stratum, seen] : look) {
-        newSent += static_cast<double>(seen.newVersion.sent);
-        oldSent += static_cast<double>(seen.oldVersion.sent);
-        newLoads += static_cast<double>(seen.newVersion.sent) * stratum.loadClass;
-        oldLoads += static_cast<double>(seen.oldVersion.sent) * stratum.loadClass;
+    double newLoadSum = 0;
+    double oldLoadSum = 0;
+    for (const auto &[stratum, comparison] : comparisons) {
+        newSent += static_cast<double>(comparison.newVersion.sent);
+        oldSent += static_cast<double>(comparison.oldVersion.sent);
+        newLoadSum += static_cast<double>(comparison.newVersion.sent) * stratum.loadClass;
+        oldLoadSum += static_cast<double>(comparison.oldVersion.sent) * stratum.loadClass;
     }
-    m_newLoad = newSent > 0 ? m_newLoad * ExposureFade + (1 - ExposureFade) * newLoads / newSent : m_newLoad;
-    m_oldLoad = oldSent > 0 ? m_oldLoad * ExposureFade + (1 - ExposureFade) * oldLoads / oldSent : m_oldLoad;
+    m_newLoadClass = newSent > 0 ? m_newLoadClass * ExposureDecay + (1 - ExposureDecay) * newLoadSum / newSent : m_newLoadClass;
+    m_oldLoadClass = oldSent > 0 ? m_oldLoadClass * ExposureDecay + (1 - ExposureDecay) * oldLoadSum / oldSent : m_oldLoadClass;
 }
 
-/// Puts the ratios of one stratum into those of the hypotheses that it belongs to.
-void MoveVerdict::compare(FactorMap &factors, const Stratum &stratum, const Comparison &seen)
+/// Adds the log-likelihood ratios of one stratum to those of the hypotheses that it belongs to.
+void MoveVerdict::addEvidence(LogRatioMap &logRatios, const Stratum &stratum, const Comparison &comparison)
 {
     auto &[newSent, oldSent] = m_exposure[stratum];
-    newSent += static_cast<double>(seen.newVersion.sent);
-    oldSent += static_cast<double>(seen.oldVersion.sent);
-    const Recent &recent = recentFor(stratum);
-    const auto real = [](std::uint64_t count) { return static_cast<double>(count); };
+    newSent += static_cast<double>(comparison.newVersion.sent);
+    oldSent += static_cast<double>(comparison.oldVersion.sent);
+    const Baseline &baseline = baselineFor(stratum);
+    const auto toDouble = [](std::uint64_t count) { return static_cast<double>(count); };
 
-    // Failures: as a part of all failures, and against the tolerated rate.
-    const double newBad = real(seen.newVersion.bad());
-    const double oldBad = real(seen.oldVersion.bad());
-    multiply(factors, FaultKind::FailsMore, stratum, logSplitRatios(newBad, oldBad, newSent, oldSent));
-    const double oldRate = (recent.bad + 2 * oldBad + 0.25) / (recent.sent + 25);
-    multiply(factors, FaultKind::Fails, stratum, logPlainRatios(newBad, real(seen.newVersion.sent), std::max(ToleratedRate, 2 * oldRate)));
+    // Failures: the new version's share of all failures, and its rate against the tolerated rate.
+    const double newBad = toDouble(comparison.newVersion.bad());
+    const double oldBad = toDouble(comparison.oldVersion.bad());
+    addLogRatios(logRatios, FaultKind::ExcessFailures, stratum, logSplitRatios(newBad, oldBad, newSent, oldSent));
+    const double oldRate = (baseline.bad + 2 * oldBad + 0.25) / (baseline.sent + 25);
+    addLogRatios(logRatios,
+                 FaultKind::Failures,
+                 stratum,
+                 logFailureRateRatios(newBad, toDouble(comparison.newVersion.sent), std::max(ToleratedFailureRate, 2 * oldRate)));
 
-    // Waits over a bound, a higher one for the new version.
-    if (recent.sent < LeastRecent) {
+    // Waits over a bound, which is higher for the new version.
+    if (baseline.sent < MinBaselineRequests) {
         return;
     }
-    const std::size_t margin = stratum.loadClass == AnyLoad ? 2 : 1;
-    const std::size_t first = boundFor(recent.firstTokenOver, recent.sent);
-    multiply(factors,
-             FaultKind::SlowFirstToken,
-             stratum,
-             logSplitRatios(real(seen.newVersion.firstTokenOver[first + margin]), real(seen.oldVersion.firstTokenOver[first]), newSent, oldSent));
-    // Against the answers whose pace was measured at the same time, not those sent lately: when a whole fleet slows down, the versions'
-    // requests leave a load class at different moments, and what was sent just before would count as if it should have been slow.
-    const std::size_t between = boundFor(recent.betweenTokensOver, recent.betweenTokensOver[0]);
-    auto &[newPaced, oldPaced] = m_paced[stratum];
-    newPaced += real(seen.newVersion.paced());
-    oldPaced += real(seen.oldVersion.paced());
-    multiply(factors,
-             FaultKind::SlowTokens,
-             stratum,
-             logSplitRatios(real(seen.newVersion.betweenTokensOver[between + margin]), real(seen.oldVersion.betweenTokensOver[between]), newPaced, oldPaced));
+    const std::size_t extraBounds = stratum.loadClass == AnyLoad ? 2 : 1;
+    const std::size_t firstTokenBoundIndex = baselineBound(baseline.firstTokenOver, baseline.sent);
+    addLogRatios(logRatios,
+                 FaultKind::SlowFirstToken,
+                 stratum,
+                 logSplitRatios(toDouble(comparison.newVersion.firstTokenOver[firstTokenBoundIndex + extraBounds]),
+                                toDouble(comparison.oldVersion.firstTokenOver[firstTokenBoundIndex]),
+                                newSent,
+                                oldSent));
+    // Relative to the answers whose pace was measured in the same interval, not to the requests sent recently: when a whole fleet slows down,
+    // the two versions' requests move to another load class at different moments, and requests sent just before would count as exposure.
+    const std::size_t tokenBoundIndex = baselineBound(baseline.betweenTokensOver, baseline.betweenTokensOver[0]);
+    auto &[newPaced, oldPaced] = m_pacedAnswers[stratum];
+    newPaced += toDouble(comparison.newVersion.paceCount());
+    oldPaced += toDouble(comparison.oldVersion.paceCount());
+    addLogRatios(logRatios,
+                 FaultKind::SlowTokens,
+                 stratum,
+                 logSplitRatios(toDouble(comparison.newVersion.betweenTokensOver[tokenBoundIndex + extraBounds]),
+                                toDouble(comparison.oldVersion.betweenTokensOver[tokenBoundIndex]),
+                                newPaced,
+                                oldPaced));
 }
 
-void MoveVerdict::multiply(FactorMap &factors, FaultKind kind, const Stratum &stratum, const Factors &logs)
+void MoveVerdict::addLogRatios(LogRatioMap &logRatios, FaultKind kind, const Stratum &stratum, const LogRatios &logs)
 {
-    const bool anyLoad = stratum.loadClass == AnyLoad;
+    const bool overAllLoads = stratum.loadClass == AnyLoad;
     const Group groups[] = {
-        Group{.by = anyLoad ? Group::By::AllAnyLoad : Group::By::All, .route = {}, .value = 0},
-        Group{.by = anyLoad ? Group::By::RouteAnyLoad : Group::By::Route, .route = stratum.route, .value = 0},
-        Group{.by = anyLoad ? Group::By::LengthAnyLoad : Group::By::Length, .route = {}, .value = stratum.lengthClass},
+        Group{.by = overAllLoads ? Group::By::AllAnyLoad : Group::By::All, .route = {}, .value = 0},
+        Group{.by = overAllLoads ? Group::By::RouteAnyLoad : Group::By::Route, .route = stratum.route, .value = 0},
+        Group{.by = overAllLoads ? Group::By::LengthAnyLoad : Group::By::Length, .route = {}, .value = stratum.lengthClass},
         Group{.by = Group::By::Load, .route = {}, .value = stratum.loadClass},
     };
-    for (const Group &group : std::span(groups, anyLoad ? 3 : 4)) {
-        Factors &sum = factors[{kind, group}];
+    for (const Group &group : std::span(groups, overAllLoads ? 3 : 4)) {
+        LogRatios &sum = logRatios[{kind, group}];
         for (std::size_t i = 0; i < sum.size(); ++i) {
             sum[i] += logs[i];
         }
     }
 }
 
-const MoveVerdict::Recent &MoveVerdict::recentFor(const Stratum &stratum)
+const MoveVerdict::Baseline &MoveVerdict::baselineFor(const Stratum &stratum)
 {
-    const Recent &own = m_recent[stratum];
-    return own.sent >= LeastRecent ? own : m_recentOfAll;
+    const Baseline &stratumBaseline = m_baselines[stratum];
+    return stratumBaseline.sent >= MinBaselineRequests ? stratumBaseline : m_overallBaseline;
 }
 
-void MoveVerdict::Recent::fade()
+void MoveVerdict::Baseline::decay()
 {
-    sent *= RecentFade;
-    bad *= RecentFade;
+    sent *= BaselineDecay;
+    bad *= BaselineDecay;
     for (std::size_t k = 0; k < WaitBoundCount; ++k) {
-        firstTokenOver[k] *= RecentFade;
-        betweenTokensOver[k] *= RecentFade;
+        firstTokenOver[k] *= BaselineDecay;
+        betweenTokensOver[k] *= BaselineDecay;
     }
 }
 
-void MoveVerdict::Recent::add(const OutcomeCounts &counts)
+void MoveVerdict::Baseline::add(const OutcomeCounts &counts)
 {
     sent += static_cast<double>(counts.sent);
     bad += static_cast<double>(counts.bad());
@@ -261,42 +274,42 @@
     }
 }
 
-/// The bounds and rates for the next look come from this one and earlier ones only: the test stays valid because they are not chosen
-/// after the data they are applied to.
-void MoveVerdict::learnBounds(const Look &look)
+/// Records the old version's counts, from which the next update's bounds and rates are chosen. The test stays valid because bounds are
+/// never chosen from the data to which they are applied.
+void MoveVerdict::recordBaseline(const Comparisons &comparisons)
 {
-    for (const auto &[stratum, seen] : look) {
-        m_recent[stratum].add(seen.oldVersion);
-        m_recentOfAll.add(seen.oldVersion);
+    for (const auto &[stratum, comparison] : comparisons) {
+        m_baselines[stratum].add(comparison.oldVersion);
+        m_overallBaseline.add(comparison.oldVersion);
     }
 }
 
-void MoveVerdict::judge()
+void MoveVerdict::updateFinding()
 {
-    std::map<std::pair<FaultKind, Group::By>, std::size_t> places;
+    std::map<std::pair<FaultKind, Group::By>, std::size_t> groupCounts;
     double sum = 0;
-    double strongest = 0;
-    const std::pair<FaultKind, Group> *against = nullptr;
+    double highestWeight = 0;
+    const std::pair<FaultKind, Group> *strongestHypothesis = nullptr;
     for (const auto &[hypothesis, martingales] : m_martingales) {
         const Group::By by = hypothesis.second.by;
-        if (++places[{hypothesis.first, by}] > MostGroups) {
+        if (++groupCounts[{hypothesis.first, by}] > MaxGroupsPerGrouping) {
             continue;
         }
-        const double divided = by == Group::By::All || by == Group::By::AllAnyLoad ? 1 : static_cast<double>(MostGroups);
-        double mixed = 0;
-        for (const double started : martingales.started) {
-            mixed += started / static_cast<double>(EffectSizes.size());
+        const double sharingGroups = by == Group::By::All || by == Group::By::AllAnyLoad ? 1 : static_cast<double>(MaxGroupsPerGrouping);
+        double meanMixture = 0;
+        for (const double mixture : martingales.mixtures) {
+            meanMixture += mixture / static_cast<double>(EffectSizes.size());
         }
-        const double weighted = mixed * KindPrior * GroupingPrior / divided;
-        sum += weighted;
-        if (weighted > strongest) {
-            strongest = weighted;
-            against = &hypothesis;
+        const double weight = meanMixture * KindPrior * GroupingPrior / sharingGroups;
+        sum += weight;
+        if (weight > highestWeight) {
+            highestWeight = weight;
+            strongestHypothesis = &hypothesis;
         }
     }
     m_evidence = sum;
-    if (!m_finding && against && sum >= OneWrongIn) {
-        m_finding = Finding{.kind = against->first, .where = describe(against->second), .oneIn = sum};
+    if (!m_finding && strongestHypothesis && sum >= FindingThreshold) {
+        m_finding = Finding{.kind = strongestHypothesis->first, .where = describe(strongestHypothesis->second), .evidence = sum};
     }
 }
 
--- a/src/policy/outcomecounters.cpp
+++ b/src/policy/outcomecounters.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-/// The bounds as a table: half octaves from a first value.
-std::array<Duration, WaitBoundCount> halfOctavesFrom(Duration first)
+/// Returns bounds in half octaves, beginning at a first value.
+std::array<Duration, WaitBoundCount> halfOctaveBounds(Duration first)
 {
     std::array<Duration, WaitBoundCount> bounds{};
     for (std::size_t k = 0; k < bounds.size(); ++k) {
@@ -23,13 +23,13 @@
 
 Duration firstTokenBound(std::size_t k)
 {
-    static const std::array<Duration, WaitBoundCount> Bounds = halfOctavesFrom(std::chrono::milliseconds(20));
+    static const std::array<Duration, WaitBoundCount> Bounds = halfOctaveBounds(std::chrono::milliseconds(20));
     return Bounds.at(k);
 }
 
 Duration betweenTokensBound(std::size_t k)
 {
-    static const std::array<Duration, WaitBoundCount> Bounds = halfOctavesFrom(std::chrono::milliseconds(1));
+    static const std::array<Duration, WaitBoundCount> Bounds = halfOctaveBounds(std::chrono::milliseconds(1));
     return Bounds.at(k);
 }
 
@@ -48,18 +48,18 @@
     return *this;
 }
 
-OutcomeCounts OutcomeCounts::since(const OutcomeCounts &earlier) const
+OutcomeCounts OutcomeCounts::growthSince(const OutcomeCounts &earlierCounts) const
 {
     OutcomeCounts growth = *this;
-    growth.sent -= earlier.sent;
-    growth.onTime -= earlier.onTime;
-    growth.late -= earlier.late;
-    growth.failed -= earlier.failed;
-    growth.refused -= earlier.refused;
-    growth.unknown -= earlier.unknown;
+    growth.sent -= earlierCounts.sent;
+    growth.onTime -= earlierCounts.onTime;
+    growth.late -= earlierCounts.late;
+    growth.failed -= earlierCounts.failed;
+    growth.refused -= earlierCounts.refused;
+    growth.unknown -= earlierCounts.unknown;
     for (std::size_t k = 0; k < WaitBoundCount; ++k) {
-        growth.firstTokenOver[k] -= earlier.firstTokenOver[k];
-        growth.betweenTokensOver[k] -= earlier.betweenTokensOver[k];
+        growth.firstTokenOver[k] -= earlierCounts.firstTokenOver[k];
+        growth.betweenTokensOver[k] -= earlierCounts.betweenTokensOver[k];
     }
     return growth;
 }
@@ -69,14 +69,14 @@
     ++m_counts[key].sent;
 }
 
-void OutcomeCounters::recordFirstTokenWait(const OutcomeKey &key, std::uint8_t &passed, Duration waited)
+void OutcomeCounters::recordFirstTokenWait(const OutcomeKey &key, std::uint8_t &boundsExceeded, Duration waited)
 {
-    if (passed >= WaitBoundCount || waited <= firstTokenBound(passed)) {
+    if (boundsExceeded >= WaitBoundCount || waited <= firstTokenBound(boundsExceeded)) {
         return;
     }
     OutcomeCounts &counts = m_counts[key];
-    while (passed < WaitBoundCount && waited > firstTokenBound(passed)) {
-        ++counts.firstTokenOver[passed++];
+    while (boundsExceeded < WaitBoundCount && waited > firstTokenBound(boundsExceeded)) {
+        ++counts.firstTokenOver[boundsExceeded++];
     }
 }
 
@@ -90,23 +90,23 @@
 
 void OutcomeCollector::take(const VmName &vm, const std::string &incarnation, std::uint64_t sequence, const OutcomeMap &counts)
 {
-    const auto found = m_reported.find(vm);
-    if (found == m_reported.end()) {
-        m_reported[vm] = Reported{.incarnation = incarnation, .sequence = sequence, .counts = counts};
+    const auto found = m_lastReports.find(vm);
+    if (found == m_lastReports.end()) {
+        m_lastReports[vm] = LastReport{.incarnation = incarnation, .sequence = sequence, .counts = counts};
         return;
     }
-    Reported &last = found->second;
-    if (last.incarnation == incarnation && sequence <= last.sequence) {
+    LastReport &lastReport = found->second;
+    if (lastReport.incarnation == incarnation && sequence <= lastReport.sequence) {
         return;
     }
-    if (last.incarnation != incarnation) {
-        last.counts.clear();
+    if (lastReport.incarnation != incarnation) {
+        lastReport.counts.clear();
     }
     for (const auto &[key, total] : counts) {
-        const auto before = last.counts.find(key);
-        m_growth[key] += before == last.counts.end() ? total : total.since(before->second);
+        const auto previous = lastReport.counts.find(key);
+        m_growth[key] += previous == lastReport.counts.end() ? total : total.growthSince(previous->second);
     }
-    last = Reported{.incarnation = incarnation, .sequence = sequence, .counts = counts};
+    lastReport = LastReport{.incarnation = incarnation, .sequence = sequence, .counts = counts};
 }
 
 OutcomeMap OutcomeCollector::takeGrowth()
--- a/src/policy/outcomecounters.h
+++ b/src/policy/outcomecounters.h
@@ -8,34 +8,38 @@
 #include <string>
 #include <vector>
 
-/// How requests went, counted per version in a form that may be lost, repeated and summed: every count only grows while a process lives.
+/// Outcomes of requests, counted per version. Every count only grows during a process's incarnation, so that reports of them may be lost
+/// or repeated, and summed.
 namespace cumindyke
 {
 
+/// Number of bounds in each histogram of waits.
 constexpr std::size_t WaitBoundCount = 24;
-/// Tokens after the first that an answer's pace is taken from.
+/// Tokens after the first over which an answer's pace is measured.
 constexpr std::uint32_t PaceSampleTokens = 16;
 
-/// Bound k of the waits for a first token: 20 ms, and each bound 1.41 times the one before, up to 58 s.
+/// Returns bound k of the waits for a first token: 20 ms for k = 0, each further bound 1.41 times the previous one, up to 58 s.
 Duration firstTokenBound(std::size_t k);
-/// Bound k of the mean time between tokens: 1 ms, and each bound 1.41 times the one before, up to 2.9 s.
+/// Returns bound k of the mean time between tokens: 1 ms for k = 0, each further bound 1.41 times the previous one, up to 2.9 s.
 Duration betweenTokensBound(std::size_t k);
 
-/// What requests are told apart by. Two versions are compared only within the same route, length class and load class.
+/// The attributes by which outcomes are grouped. Two versions are compared only within the same route, length class and load class.
 struct OutcomeKey
 {
     ServiceName service;
     VersionName version;
     std::string route;
-    /// Requested length of the answer: 2 to this power is its upper bound in tokens.
+    /// Class of the requested answer length: 2 to this power is the upper bound in tokens.
     std::uint8_t lengthClass = 0;
-    /// Part of the upstream's slots in use when the request was sent: 0 (under a quarter) to 3 (over three quarters).
+    /// Share of the upstream's slots in use when the request was sent: 0 (under a quarter) to 3 (over three quarters).
     std::uint8_t loadClass = 0;
     TierRank tier;
 
     auto operator<=>(const OutcomeKey &) const = default;
 };
 
+/// Counters of the requests with one key. onTime and late count answered requests, by their deadline; unknown counts requests whose outcome
+/// is unknown.
 struct OutcomeCounts
 {
     std::uint64_t sent = 0;
@@ -44,24 +48,26 @@
     std::uint64_t failed = 0;
     std::uint64_t refused = 0;
     std::uint64_t unknown = 0;
-    /// Requests whose wait for the first token went over the bound. Counted when the bound is passed, not when the token comes, so that an
-    /// engine that falls silent shows as a slow one without waiting for a timeout.
+    /// Requests whose wait for the first token exceeded bound k. Counted when the bound is exceeded, not when the token arrives, so that an
+    /// engine that stops answering shows as slow before any timeout.
     std::array<std::uint64_t, WaitBoundCount> firstTokenOver{};
-    /// Bound 0 counts every answer whose pace is known, whatever it is.
+    /// Answers whose mean time between tokens exceeded bound k. Bound 0 counts every answer whose pace was measured.
     std::array<std::uint64_t, WaitBoundCount> betweenTokensOver{};
 
     OutcomeCounts &operator+=(const OutcomeCounts &other);
-    /// The growth since an earlier reading of the same counters.
-    OutcomeCounts since(const OutcomeCounts &earlier) const;
+    /// Returns the difference to an earlier reading of the same counters.
+    OutcomeCounts growthSince(const OutcomeCounts &earlierCounts) const;
     std::uint64_t answered() const
     {
         return onTime + late;
     }
-    std::uint64_t paced() const
+    /// Answers whose pace was measured.
+    std::uint64_t paceCount() const
     {
         return betweenTokensOver[0];
     }
-    /// Ended badly after being sent. Refusals that say "not run" are capacity, not a fault of the version.
+    /// Sent requests that ended in a failure. Refusals that say "not run" are excluded: they show a lack of capacity, not a fault of the
+    /// version.
     std::uint64_t bad() const
     {
         return failed + unknown;
@@ -75,12 +81,15 @@
 class OutcomeCounters
 {
 public:
+    /// Records that a request was sent.
     void sent(const OutcomeKey &key);
-    /// A request still waits for its first token, or has just got it. "passed" is the request's own count of bounds passed so far.
-    void recordFirstTokenWait(const OutcomeKey &key, std::uint8_t &passed, Duration waited);
-    /// The mean time between an answer's first tokens, PaceSampleTokens of them or fewer if it has fewer. Not the whole answer: a slow engine
-    /// would show itself only when its answers end.
+    /// Records how long a request has waited for its first token, while it still waits or when the token has arrived. "boundsExceeded" is
+    /// the request's own count of the bounds exceeded so far, which this call updates.
+    void recordFirstTokenWait(const OutcomeKey &key, std::uint8_t &boundsExceeded, Duration waited);
+    /// Records the mean time between an answer's first tokens, PaceSampleTokens of them or all if it has fewer. The whole answer is not
+    /// measured, since a slow engine would then show only when its answers end.
     void recordTokenInterval(const OutcomeKey &key, Duration mean);
+    /// Returns the counters to which the caller adds the outcome of a request that has ended.
     OutcomeCounts &ended(const OutcomeKey &key)
     {
         return m_counts[key];
@@ -94,26 +103,27 @@
     OutcomeMap m_counts;
 };
 
-/// Puts the reports of all entry VMs together.
+/// Aggregates the outcome reports of all entry VMs.
 ///
-/// Reports may be lost, repeated and overtaken: only the growth since the newest report of the same incarnation counts, so a lost one costs
-/// nothing. A VM that restarted begins again from zero. The first report of a VM that was never heard of is only the base for its next one:
-/// what it counted before belongs to another leader's time.
+/// Reports may be lost, repeated and reordered: only the growth since the newest report of the same incarnation is added, so a lost report
+/// costs nothing. The counts of a VM that restarted begin at zero. The first report of an unknown VM serves only as the base for its next
+/// one, since its counts date from an earlier leader's term.
 class OutcomeCollector
 {
 public:
+    /// Handles a VM's report; one that is not newer than the last report of the same incarnation is ignored.
     void take(const VmName &vm, const std::string &incarnation, std::uint64_t sequence, const OutcomeMap &counts);
-    /// The growth since the last call.
+    /// Returns the growth since the last call, and resets it.
     OutcomeMap takeGrowth();
 
 private:
-    struct Reported
+    struct LastReport
     {
         std::string incarnation;
         std::uint64_t sequence = 0;
         OutcomeMap counts;
     };
-    std::map<VmName, Reported> m_reported;
+    std::map<VmName, LastReport> m_lastReports;
     OutcomeMap m_growth;
 };
 
--- a/src/policy/pendingqueue.cpp
+++ b/src/policy/pendingqueue.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-/// Organisations whose served work differs by less than this many tokens count as even: the earliest deadline decides among them.
-constexpr double EvenWork = 4000;
+/// Organisations whose served work differs by at most this many tokens count as equally served: among them the earliest deadline decides.
+constexpr double FairnessToleranceTokens = 4000;
 
 }
 
@@ -25,22 +25,22 @@
     return found == m_weights.end() ? 1 : std::max(found->second, 1U);
 }
 
-double PendingQueue::served(const OrganisationName &organisation) const
+double PendingQueue::servedWork(const OrganisationName &organisation) const
 {
-    const auto found = m_served.find(organisation);
-    return found == m_served.end() ? 0 : found->second;
+    const auto found = m_servedWork.find(organisation);
+    return found == m_servedWork.end() ? 0 : found->second;
 }
 
 void PendingQueue::add(PendingRequest request)
 {
     auto &organisations = m_tiers[request.tier];
     if (!organisations.contains(request.organisation) && !organisations.empty()) {
-        double least = std::numeric_limits<double>::max();
+        double leastServed = std::numeric_limits<double>::max();
         for (const auto &[organisation, waiting] : organisations) {
-            least = std::min(least, served(organisation));
+            leastServed = std::min(leastServed, servedWork(organisation));
         }
-        double &own = m_served[request.organisation];
-        own = std::max(own, least);
+        double &ownWork = m_servedWork[request.organisation];
+        ownWork = std::max(ownWork, leastServed);
     }
     organisations[request.organisation].emplace(request.deadline, request.id);
     m_byDeadline.emplace(request.deadline, request.id);
@@ -76,7 +76,7 @@
         return false;
     }
     const OrganisationName organisation = found->second.organisation;
-    m_served[organisation] += static_cast<double>(found->second.work.value) / weight(organisation);
+    m_servedWork[organisation] += static_cast<double>(found->second.work.value) / weight(organisation);
     return remove(id);
 }
 
@@ -86,13 +86,13 @@
         return nullptr;
     }
     const auto &organisations = m_tiers.begin()->second;
-    double least = std::numeric_limits<double>::max();
+    double leastServed = std::numeric_limits<double>::max();
     for (const auto &[organisation, waiting] : organisations) {
-        least = std::min(least, served(organisation));
+        leastServed = std::min(leastServed, servedWork(organisation));
     }
     const std::pair<TimePoint, RequestId> *best = nullptr;
     for (const auto &[organisation, waiting] : organisations) {
-        if (served(organisation) <= least + EvenWork && (!best || *waiting.begin() < *best)) {
+        if (servedWork(organisation) <= leastServed + FairnessToleranceTokens && (!best || *waiting.begin() < *best)) {
             best = &*waiting.begin();
         }
     }
@@ -103,13 +103,13 @@
 {
     std::vector<const PendingRequest *> order;
     for (const auto &[tier, organisations] : m_tiers) {
-        std::vector<std::pair<Waiting::const_iterator, Waiting::const_iterator>> cursors;
+        std::vector<std::pair<DeadlineOrder::const_iterator, DeadlineOrder::const_iterator>> iterators;
         for (const auto &[organisation, waiting] : organisations) {
-            cursors.emplace_back(waiting.begin(), waiting.end());
+            iterators.emplace_back(waiting.begin(), waiting.end());
         }
         for (bool more = true; more;) {
             more = false;
-            for (auto &[at, end] : cursors) {
+            for (auto &[at, end] : iterators) {
                 if (at == end) {
                     continue;
                 }
@@ -125,7 +125,7 @@
     return order;
 }
 
-std::vector<PendingRequest> PendingQueue::takeExpired(TimePoint now)
+std::vector<PendingRequest> PendingQueue::removeExpired(TimePoint now)
 {
     std::vector<PendingRequest> expired;
     while (!m_byDeadline.empty() && m_byDeadline.begin()->first <= now) {
@@ -136,27 +136,27 @@
     return expired;
 }
 
-std::vector<PendingRequest> PendingQueue::takeFrom(TierRank highest)
+std::vector<PendingRequest> PendingQueue::removeTiersFrom(TierRank highestTier)
 {
-    std::vector<PendingRequest> taken;
-    for (auto tier = m_tiers.lower_bound(highest); tier != m_tiers.end(); ++tier) {
+    std::vector<PendingRequest> removed;
+    for (auto tier = m_tiers.lower_bound(highestTier); tier != m_tiers.end(); ++tier) {
         for (const auto &[organisation, waiting] : tier->second) {
             for (const auto &[deadline, id] : waiting) {
-                taken.push_back(m_requests.at(id));
+                removed.push_back(m_requests.at(id));
             }
         }
     }
-    for (const PendingRequest &request : taken) {
+    for (const PendingRequest &request : removed) {
         remove(request.id);
     }
-    return taken;
+    return removed;
 }
 
-std::vector<const PendingRequest *> PendingQueue::dueBefore(TimePoint when) const
+std::vector<const PendingRequest *> PendingQueue::dueBy(TimePoint latest) const
 {
     std::vector<const PendingRequest *> due;
     for (const auto &[deadline, id] : m_byDeadline) {
-        if (deadline > when) {
+        if (deadline > latest) {
             break;
         }
         due.push_back(&m_requests.at(id));
@@ -164,7 +164,7 @@
     return due;
 }
 
-std::optional<TierRank> PendingQueue::lowestTier() const
+std::optional<TierRank> PendingQueue::lowestPendingTier() const
 {
     return m_tiers.empty() ? std::nullopt : std::optional(m_tiers.rbegin()->first);
 }
--- a/src/policy/pendingqueue.h
+++ b/src/policy/pendingqueue.h
@@ -12,7 +12,7 @@
 namespace cumindyke
 {
 
-/// What the queue needs to know of a waiting request.
+/// A request that waits for capacity.
 struct PendingRequest
 {
     RequestId id;
@@ -23,56 +23,60 @@
     TimePoint deadline;
     /// Predicted prompt and answer tokens.
     TokenCount work;
-    /// The two parts of the work, when they are known apart.
+    /// The prompt's and the answer's share of the work; 0 when the split is unknown.
     TokenCount promptTokens;
     TokenCount answerTokens;
-    /// Fingerprint of the prompt's beginning, which other requests may share; 0 when there is none.
+    /// Hash of the prompt's prefix, which other requests may share; 0 when the prompt has none.
     std::uint64_t prefix = 0;
-    /// The version it is routed to; empty: the service's.
+    /// The version that the request is routed to; empty for the service's declared version.
     VersionName version;
 };
 
-/// Requests that wait on one entry VM for capacity of one service: the highest tier first, inside a tier fair between organisations
-/// by work, and the earliest deadline first among organisations that are about even.
+/// The requests that wait on one entry VM for capacity of one service. The highest tier is served first. Within a tier, capacity is shared
+/// fairly between organisations by work, and the earliest deadline is served first among organisations that have been served about equally.
 class PendingQueue
 {
 public:
-    /// Shares of a tier between organisations; who has none has 1.
+    /// Sets the organisations' weights within a tier; an organisation that is not in the map has weight 1.
     void setWeights(std::map<OrganisationName, std::uint32_t> weights);
+    /// Enqueues a request.
     void add(PendingRequest request);
-    /// False when the request is not waiting.
+    /// Removes a request without counting its work as served. Returns false when the request is not in the queue.
     bool remove(const RequestId &id);
-    /// Like remove(), and counts the request's work as served for its organisation.
+    /// Removes a request that got capacity, and counts its work as served for its organisation. Returns false when it is not in the queue.
     bool dequeue(const RequestId &id);
-    /// The request that capacity should go to next, or null.
+    /// Returns the request to be served next, or null when the queue is empty.
     const PendingRequest *first() const;
-    /// At most count requests, in the order of tiers; inside a tier the organisations in turn, of each the earliest deadlines.
+    /// Returns at most count requests in the order of service: by tier, and within a tier round-robin over the organisations, each
+    /// organisation's earliest deadline first.
     std::vector<const PendingRequest *> inOrder(std::size_t count) const;
-    /// Takes every request whose deadline is not after now.
-    std::vector<PendingRequest> takeExpired(TimePoint now);
-    /// Takes every request of the tier and lower ones.
-    std::vector<PendingRequest> takeFrom(TierRank highest);
-    /// The requests whose deadlines are not after a time, the earliest first.
-    std::vector<const PendingRequest *> dueBefore(TimePoint when) const;
-    std::optional<TierRank> lowestTier() const;
+    /// Removes and returns every request whose deadline is not after now.
+    std::vector<PendingRequest> removeExpired(TimePoint now);
+    /// Removes and returns every request of the given and of lower tiers.
+    std::vector<PendingRequest> removeTiersFrom(TierRank highestTier);
+    /// Returns the requests whose deadlines are not after a point in time, the earliest deadline first.
+    std::vector<const PendingRequest *> dueBy(TimePoint latest) const;
+    /// Returns the lowest tier in the queue, or nothing when the queue is empty.
+    std::optional<TierRank> lowestPendingTier() const;
     std::size_t size() const
     {
         return m_requests.size();
     }
 
 private:
-    using Waiting = std::set<std::pair<TimePoint, RequestId>>;
+    /// Requests in the order of their deadlines.
+    using DeadlineOrder = std::set<std::pair<TimePoint, RequestId>>;
 
     std::uint32_t weight(const OrganisationName &organisation) const;
-    double served(const OrganisationName &organisation) const;
+    double servedWork(const OrganisationName &organisation) const;
 
     std::map<OrganisationName, std::uint32_t> m_weights;
     std::unordered_map<RequestId, PendingRequest> m_requests;
-    std::map<TierRank, std::map<OrganisationName, Waiting>> m_tiers;
-    Waiting m_byDeadline;
-    /// Work served, divided by weight. An organisation that comes back from idleness starts at the least of those that wait, so that
-    /// it has no claim on the time when it asked for nothing.
-    std::unordered_map<OrganisationName, double> m_served;
+    std::map<TierRank, std::map<OrganisationName, DeadlineOrder>> m_tiers;
+    DeadlineOrder m_byDeadline;
+    /// Served work in tokens, divided by weight. An organisation that had no waiting request starts at the least of those that wait, so
+    /// that it accrues no credit while idle.
+    std::unordered_map<OrganisationName, double> m_servedWork;
 };
 
 }
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -9,63 +9,73 @@
 namespace cumindyke
 {
 
-/// Until it is learned: the time between two tokens of an answer on a busy engine.
+/// Assumed time between two tokens of an answer on a busy engine until the engine's speed is measured.
 constexpr double DefaultTokenMicroseconds = 25'000;
-/// Prompt tokens that an engine prefills in the time of one answer token at full batch, the ratio of the engines we know.
+/// Prompt tokens that an engine prefills in the time of one answer token at full batch: the ratio of the known engines.
 constexpr double PrefillTokensPerToken = 500;
 
-/// An upstream as the scheduler of its cell knows it.
+/// The state of an upstream in its cell's scheduler.
 struct UpstreamState
 {
-    /// Versions are numbered in the cell.
+    /// Index of the upstream's version in the cell.
     std::uint32_t version = 0;
-    /// Reachable, not leaving.
+    /// Whether the upstream is reachable and not draining.
     bool usable = true;
-    /// What the declarations allow.
+    /// Declared limit of concurrent requests.
     std::uint32_t slots = 1;
-    /// What the engine was seen to run at once.
+    /// Estimated number of requests that the engine runs concurrently, at most slots.
     double window = 1;
-    /// Reported by entry VMs, and granted since.
+    /// Requests in flight: reported by entry VMs, or granted and not reported yet.
     std::uint32_t inFlight = 0;
     std::uint32_t longInFlight = 0;
+    /// Time between two tokens of an answer.
     double tokenMicroseconds = DefaultTokenMicroseconds;
-    /// Whether the speed was measured. On a guess nothing is held back, or a fast engine would never be measured.
+    /// Whether the speed was measured. No request is withheld on an assumed speed, since a fast engine would then never be measured.
     bool speedMeasured = false;
-    /// Prompt tokens granted and probably not prefilled yet, as of backlogAt.
+    /// Granted prompt tokens that are probably not prefilled yet, as of backlogAt.
     double prefillBacklog = 0;
     TimePoint backlogAt;
 
+    /// Returns the time to prefill one prompt token.
     double prefillMicroseconds() const
     {
         return tokenMicroseconds / PrefillTokensPerToken;
     }
-    /// The backlog as it has shrunk by now.
+    /// Returns the estimated prefill backlog in tokens, after the prefill done since backlogAt.
     double backlog(TimePoint now) const;
+    /// Adds a granted prompt's tokens to the prefill backlog.
     void addBacklog(double tokens, TimePoint now);
 };
 
+/// A request to be placed.
 struct PlacementRequest
 {
     std::uint32_t version = 0;
     TokenCount prompt;
     TokenCount answer;
     bool isLong = false;
+    /// The upstreams that probably have the prompt's prefix cached.
     PrefixIndex::Mask cachedOn = 0;
     TimePoint deadline;
 };
 
-/// Which parts of placement are in use; experiments leave parts out.
+/// Switches for the parts of placement, so that experiments can measure each one's effect.
 struct PlacementOptions
 {
+    /// Prefers upstreams with a cached prefix.
     bool useAffinity = true;
+    /// Uses measured instead of assumed speeds.
     bool useSpeeds = true;
+    /// Counts the prefill backlog in the finish time.
     bool useBacklog = true;
+    /// Limits the share of an upstream's window that long requests occupy.
     bool capLongWork = true;
-    /// Leaves an upstream alone on which the request would miss its deadline.
+    /// Excludes upstreams on which the request would miss its deadline.
     bool respectDeadline = true;
 };
 
-/// The usable upstream with room on which the request would finish first, or nothing when none has room or would finish in time.
+/// Returns the index of the usable upstream with a free slot on which the request would finish first, or nothing when no upstream has a
+/// free slot or would finish the request by its deadline.
 std::optional<std::uint32_t>
 choosePlacement(std::span<const UpstreamState> upstreams, const PlacementRequest &request, const PlacementOptions &options, TimePoint now);
 
--- a/src/policy/prefixindex.cpp
+++ b/src/policy/prefixindex.cpp
@@ -14,26 +14,26 @@
     return found == m_entries.end() ? 0 : found->second.holders;
 }
 
-void PrefixIndex::stored(std::uint64_t prefix, std::uint32_t upstream)
+void PrefixIndex::recordStored(std::uint64_t prefix, std::uint32_t upstream)
 {
     if (prefix == 0 || upstream >= MaxUpstreams) {
         return;
     }
     const auto [found, added] = m_entries.try_emplace(prefix);
     if (added) {
-        m_ages.push_front(prefix);
-        found->second.age = m_ages.begin();
+        m_recency.push_front(prefix);
+        found->second.recency = m_recency.begin();
     } else {
-        m_ages.splice(m_ages.begin(), m_ages, found->second.age);
+        m_recency.splice(m_recency.begin(), m_recency, found->second.recency);
     }
     found->second.holders |= Mask{1} << upstream;
     if (m_entries.size() > m_capacity) {
-        m_entries.erase(m_ages.back());
-        m_ages.pop_back();
+        m_entries.erase(m_recency.back());
+        m_recency.pop_back();
     }
 }
 
-void PrefixIndex::evicted(std::uint64_t prefix, std::uint32_t upstream)
+void PrefixIndex::recordEvicted(std::uint64_t prefix, std::uint32_t upstream)
 {
     const auto found = m_entries.find(prefix);
     if (found == m_entries.end() || upstream >= MaxUpstreams) {
@@ -41,12 +41,12 @@
     }
     found->second.holders &= ~(Mask{1} << upstream);
     if (found->second.holders == 0) {
-        m_ages.erase(found->second.age);
+        m_recency.erase(found->second.recency);
         m_entries.erase(found);
     }
 }
 
-void PrefixIndex::forget(std::uint32_t upstream)
+void PrefixIndex::removeUpstream(std::uint32_t upstream)
 {
     if (upstream >= MaxUpstreams) {
         return;
@@ -57,7 +57,7 @@
             ++entry;
             continue;
         }
-        m_ages.erase(entry->second.age);
+        m_recency.erase(entry->second.recency);
         entry = m_entries.erase(entry);
     }
 }
--- a/src/policy/servequeue.h
+++ b/src/policy/servequeue.h
@@ -5,12 +5,12 @@
 namespace cumindyke
 {
 
-/// Waiting requests that one pass looks at; those behind them are not in the demand either.
+/// Maximum number of queued requests that one pass examines; requests further back are not in the demand to the schedulers either.
 constexpr std::size_t MaxServedPerPass = 128;
 
-/// Gives the source's capacity to waiting requests, in the queue's order. A request that gets no slot does not hold up those behind it:
-/// with a version move under way the capacity may be another version's, and a grant may be for another request. dispatch(request, slot)
-/// is called after the request has left the queue.
+/// Assigns the source's capacity to queued requests in the queue's order. A request that gets no slot does not block those behind it:
+/// during a version move the free capacity may belong to another version, and a grant may be for another request. dispatch(request, slot)
+/// is called after the request has been dequeued.
 template<CapacitySource Source, typename Dispatch>
 void serveQueue(PendingQueue &queue, Source &source, const Declarations &declarations, const VersionName &serviceVersion, TimePoint now, Dispatch dispatch)
 {
--- a/src/policy/shedding.h
+++ b/src/policy/shedding.h
@@ -10,7 +10,7 @@
 namespace cumindyke
 {
 
-/// What shedding needs to know of the cells of a service: the floor under which nobody waits, and how fast requests run.
+/// Supplies load shedding with the state of a service's cells: which tiers may be shed or are refused, and how fast requests run.
 template<typename T>
 concept FloorSource = requires(T source, const T constSource, const ServiceName &service, const PendingRequest &request, TierRank tier, TimePoint now)
 {
@@ -26,14 +26,14 @@
     source.setMustShed(service, std::optional<TierRank>(tier));
 };
 
-/// Notice for the other VMs to refuse lower tiers before a higher one must be shed: two messages each way, with room for a lost one.
-constexpr Duration ShedNotice = std::chrono::milliseconds(100);
-/// Answers longer than this are not looked for ahead of their deadline.
-constexpr std::uint32_t LongestPredicted = 8192;
+/// Time for the other VMs to refuse lower tiers before a higher tier must be shed: two messages each way, with margin for a lost one.
+constexpr Duration ShedLeadTime = std::chrono::milliseconds(100);
+/// Longest predicted answer for which queued requests are examined ahead of their deadline.
+constexpr std::uint32_t MaxPredictedTokens = 8192;
 
-/// The predicted answer, or so much of it as can be done in half of the time there is. A prediction under which a request could not be
-/// met even if it started at once is likelier wrong than the caller; without this one such request would count as shed for want of
-/// capacity, and every lower tier would be refused for it.
+/// Returns the predicted answer length, limited to what can be generated in half of the time to the deadline. When a prediction implies
+/// that a request would miss its deadline even if it started at once, the prediction is more likely wrong than the caller's deadline.
+/// Without the limit, one such request would count as shed for lack of capacity, and every lower tier would be refused because of it.
 template<FloorSource Source>
 TokenCount feasibleAnswer(const Source &source, const PendingRequest &request, TimePoint now)
 {
@@ -43,41 +43,41 @@
     }
     PendingRequest promptOnly = request;
     promptOnly.answerTokens = TokenCount{0};
-    const Duration left = (request.deadline - now) / 2 - speed.run(promptOnly);
-    const auto most = std::max<Duration::rep>(1, left / speed.perToken);
-    return TokenCount{static_cast<std::uint32_t>(std::min<Duration::rep>(request.answerTokens.value, most))};
+    const Duration generationTime = (request.deadline - now) / 2 - speed.run(promptOnly);
+    const auto feasibleTokens = std::max<Duration::rep>(1, generationTime / speed.perToken);
+    return TokenCount{static_cast<std::uint32_t>(std::min<Duration::rep>(request.answerTokens.value, feasibleTokens))};
 }
 
-/// Takes from the queue what is to be refused now, and tells the source which tier must be shed soon. Call it every 10 to 20 ms.
+/// Removes and returns the queued requests to be refused now, and sets the source's tier that must be shed soon. Call it every 10 to 20 ms.
 ///
-/// A request is refused when it can no longer finish in time even on the best upstream, so that no prefill is spent on it; but not
-/// while a lower tier waits anywhere in its cells: then the lower tiers are refused first, everywhere. Past its deadline it goes in any case.
+/// A request is refused when it can no longer finish by its deadline even on the fastest upstream, so that no prefill is spent on it. While
+/// requests of a lower tier wait anywhere in its cells, those are refused first, on every VM. A request past its deadline is always refused.
 template<FloorSource Source>
 std::vector<PendingRequest> shedRequests(PendingQueue &queue, Source &source, const ServiceName &service, TimePoint now)
 {
-    // Step 1. What the cells say is to be refused for the sake of higher tiers.
+    // Step 1. Remove the tiers that the cells' schedulers refuse in favour of higher tiers.
     std::vector<PendingRequest> refused;
-    if (const auto from = source.refuseFrom(service, now)) {
-        refused = queue.takeFrom(*from);
+    if (const auto firstRefusedTier = source.refuseFrom(service, now)) {
+        refused = queue.removeTiersFrom(*firstRefusedTier);
     }
-    // Step 2. What can't finish in time any more, and the highest tier of what soon can't.
+    // Step 2. Remove the requests that can't finish by their deadline any more, and find the highest tier among those that soon can't.
     const auto speed = source.speed(service);
-    const TimePoint horizon = now + ShedNotice + speed.perToken * LongestPredicted;
+    const TimePoint horizon = now + ShedLeadTime + speed.perToken * MaxPredictedTokens;
     std::optional<TierRank> mustShed;
-    std::vector<RequestId> hopeless;
-    for (const PendingRequest *request : queue.dueBefore(horizon)) {
+    std::vector<RequestId> infeasible;
+    for (const PendingRequest *request : queue.dueBy(horizon)) {
         const TimePoint latestStart = request->deadline - speed.run(*request);
-        if (now + ShedNotice < latestStart) {
+        if (now + ShedLeadTime < latestStart) {
             continue;
         }
         mustShed = mustShed ? std::min(*mustShed, request->tier) : request->tier;
-        const bool lowest = queue.lowestTier() <= request->tier && source.mayShed(service, request->tier, now);
-        if (now >= request->deadline || (now >= latestStart && lowest)) {
-            hopeless.push_back(request->id);
+        const bool mayShedNow = queue.lowestPendingTier() <= request->tier && source.mayShed(service, request->tier, now);
+        if (now >= request->deadline || (now >= latestStart && mayShedNow)) {
+            infeasible.push_back(request->id);
             refused.push_back(*request);
         }
     }
-    for (const RequestId &id : hopeless) {
+    for (const RequestId &id : infeasible) {
         queue.remove(id);
     }
     source.setMustShed(service, mustShed);
--- a/src/policy/versionrouter.cpp
+++ b/src/policy/versionrouter.cpp
@@ -6,11 +6,13 @@
 namespace
 {
 
-constexpr int FailuresToTrip = 3;
-constexpr Duration TripLength = std::chrono::seconds(10);
+/// Consecutive failures of the new version that trip it, and answers of the old version without a failure that are required for a trip.
+constexpr int TripThreshold = 3;
+constexpr Duration TripDuration = std::chrono::seconds(10);
 
-/// 0 to 999, the same on every VM and in every build: FNV-1a with a final mix, because ids that differ in their last digits must spread.
-std::uint32_t spread(const RequestId &request)
+/// Hashes a request's id to 0..999, the same on every VM and in every build. FNV-1a with a finalizer, because ids that differ only in
+/// their last digits must be spread evenly.
+std::uint32_t hashToPermille(const RequestId &request)
 {
     std::uint64_t hash = 14'695'981'039'346'656'037ULL;
     for (const char letter : request.value) {
@@ -26,15 +28,15 @@
 
 void VersionRouter::setMoves(const std::vector<Move> &moves)
 {
-    std::map<ServiceName, Local> open;
+    std::map<ServiceName, MoveTraffic> open;
     for (const Move &move : moves) {
         if (!move.isOpen()) {
             continue;
         }
         const auto known = m_moves.find(move.service);
-        Local local = known != m_moves.end() && known->second.move.name == move.name ? known->second : Local{};
-        local.move = move;
-        open.emplace(move.service, std::move(local));
+        MoveTraffic state = known != m_moves.end() && known->second.move.name == move.name ? known->second : MoveTraffic{};
+        state.move = move;
+        open.emplace(move.service, std::move(state));
     }
     m_moves = std::move(open);
 }
@@ -49,7 +51,7 @@
     if (atMostOnce && move.state == MoveState::Ramping) {
         return declared;
     }
-    return spread(request) < move.share.value ? move.to : declared;
+    return hashToPermille(request) < move.share.value ? move.to : declared;
 }
 
 const Move *VersionRouter::openMove(const ServiceName &service) const
@@ -64,18 +66,18 @@
     if (found == m_moves.end()) {
         return;
     }
-    Local &local = found->second;
-    if (version == local.move.from) {
-        local.oldAnswersSinceFailure = bad ? 0 : local.oldAnswersSinceFailure + 1;
+    MoveTraffic &state = found->second;
+    if (version == state.move.from) {
+        state.consecutiveOldAnswers = bad ? 0 : state.consecutiveOldAnswers + 1;
         return;
     }
-    if (version != local.move.to) {
+    if (version != state.move.to) {
         return;
     }
-    local.newFailuresInRow = bad ? local.newFailuresInRow + 1 : 0;
-    if (local.newFailuresInRow >= FailuresToTrip && local.oldAnswersSinceFailure >= FailuresToTrip) {
-        local.newFailuresInRow = 0;
-        local.trippedUntil = now + TripLength;
+    state.consecutiveNewFailures = bad ? state.consecutiveNewFailures + 1 : 0;
+    if (state.consecutiveNewFailures >= TripThreshold && state.consecutiveOldAnswers >= TripThreshold) {
+        state.consecutiveNewFailures = 0;
+        state.trippedUntil = now + TripDuration;
     }
 }
 
--- a/tests/cell/schedulertest.cpp
+++ b/tests/cell/schedulertest.cpp
@@ -229,7 +229,7 @@
     bench.deliver(bench.scheduler, at(2ms));
     CHECK_FALSE(bench.books[0].mayShed(Drafting, TierRank{0}, at(3ms)));
     REQUIRE(bench.books[1].refuseFrom(Drafting, at(3ms)) == TierRank{1});
-    CHECK(bench.queues[1].takeFrom(TierRank{1}).size() == 1);
+    CHECK(bench.queues[1].removeTiersFrom(TierRank{1}).size() == 1);
     bench.report(1, bench.scheduler, at(4ms));
     bench.deliver(bench.scheduler, at(5ms));
     bench.report(0, bench.scheduler, at(600ms));
--- a/tests/policy/allocationtest.cpp
+++ b/tests/policy/allocationtest.cpp
@@ -10,14 +10,14 @@
 namespace
 {
 
-std::atomic<std::uint64_t> allocations = 0;
+std::atomic<std::uint64_t> allocationCount = 0;
 
 }
 
-// Counts every allocation of this test program. Not inlined: the compiler would take malloc and free for a mismatched pair.
+// Counts every allocation of this test program. Not inlined, since the compiler would warn of a mismatched pair of operator new and free.
 [[gnu::noinline]] void *operator new(std::size_t size)
 {
-    ++allocations;
+    ++allocationCount;
     void *memory = std::malloc(size > 0 ? size : 1);
     if (!memory) {
         throw std::bad_alloc();
@@ -27,7 +27,7 @@
 
 [[gnu::noinline]] void *operator new(std::size_t size, const std::nothrow_t & /*tag*/) noexcept
 {
-    ++allocations;
+    ++allocationCount;
     return std::malloc(size > 0 ? size : 1);
 }
 
@@ -44,12 +44,12 @@
 using namespace cumindyke;
 using namespace std::chrono_literals;
 
-TEST_CASE("a placement among 50 upstreams allocates nothing")
+TEST_CASE("choosing a placement among 50 upstreams allocates no memory")
 {
     std::vector<UpstreamState> upstreams(50, UpstreamState{.slots = 32, .window = 32, .speedMeasured = true});
     PrefixIndex prefixes(1000);
-    prefixes.stored(7, 3);
-    const std::uint64_t before = allocations;
+    prefixes.recordStored(7, 3);
+    const std::uint64_t countBefore = allocationCount;
     std::uint64_t placed = 0;
     for (std::uint32_t i = 0; i < 1000; ++i) {
         const PlacementRequest request{
@@ -66,7 +66,7 @@
         ++upstreams[*chosen].inFlight;
         upstreams[*chosen].addBacklog(600, TimePoint(1ms * i));
     }
-    const std::uint64_t counted = allocations - before;
+    const std::uint64_t allocated = allocationCount - countBefore;
     CHECK(placed == 1000);
-    CHECK(counted == 0);
+    CHECK(allocated == 0);
 }
--- a/tests/policy/movepolicytest.cpp
+++ b/tests/policy/movepolicytest.cpp
@@ -33,47 +33,47 @@
                 .stateSince = WallTime{0}};
 }
 
-OutcomeMap counted(std::uint64_t sent, std::uint64_t failed)
+OutcomeMap newVersionCounts(std::uint64_t sent, std::uint64_t failed)
 {
     return {{key(New), OutcomeCounts{.sent = sent, .failed = failed}}};
 }
 
-/// A look with so many requests a version, of which a part fails.
-Look look(std::mt19937_64 &random, int oldSent, double oldFailing, int newSent, double newFailing)
+/// Returns outcomes of the given numbers of requests, which fail at random at the given rates.
+Comparisons randomOutcomes(std::mt19937_64 &random, int oldSent, double oldFailureRate, int newSent, double newFailureRate)
 {
-    const auto fails = [&random](double part) { return static_cast<double>(random() >> 11) * 0x1p-53 < part; };
-    Comparison seen;
+    const auto isFailure = [&random](double rate) { return static_cast<double>(random() >> 11) * 0x1p-53 < rate; };
+    Comparison comparison;
     for (int i = 0; i < oldSent; ++i) {
-        ++seen.oldVersion.sent;
-        ++(fails(oldFailing) ? seen.oldVersion.failed : seen.oldVersion.onTime);
+        ++comparison.oldVersion.sent;
+        ++(isFailure(oldFailureRate) ? comparison.oldVersion.failed : comparison.oldVersion.onTime);
     }
     for (int i = 0; i < newSent; ++i) {
-        ++seen.newVersion.sent;
-        ++(fails(newFailing) ? seen.newVersion.failed : seen.newVersion.onTime);
+        ++comparison.newVersion.sent;
+        ++(isFailure(newFailureRate) ? comparison.newVersion.failed : comparison.newVersion.onTime);
     }
-    return {{Stratum{.route = "chat", .lengthClass = 7, .loadClass = 2}, seen}};
+    return {{Stratum{.route = "chat", .lengthClass = 7, .loadClass = 2}, comparison}};
 }
 
 }
 
-TEST_CASE("a lost, repeated or overtaken report changes no sum")
+TEST_CASE("OutcomeCollector counts each outcome once when reports are lost, repeated or reordered")
 {
-    // The leader sees one sum of outcomes. A report is lost, the next one comes twice, an older one comes after it; the VM restarts and
-    // counts from zero. Every outcome since the first report counts once.
+    // One report is lost, the next one arrives twice, and an older one arrives after it. Then the VM restarts and counts from zero. Every
+    // outcome since the first report must be counted once.
     OutcomeCollector collector;
     const VmName vm{"vm1"};
-    collector.take(vm, "a", 1, counted(100, 7));
+    collector.take(vm, "a", 1, newVersionCounts(100, 7));
     CHECK(collector.takeGrowth().empty());
-    collector.take(vm, "a", 3, counted(130, 9));
-    collector.take(vm, "a", 3, counted(130, 9));
-    collector.take(vm, "a", 2, counted(110, 8));
+    collector.take(vm, "a", 3, newVersionCounts(130, 9));
+    collector.take(vm, "a", 3, newVersionCounts(130, 9));
+    collector.take(vm, "a", 2, newVersionCounts(110, 8));
     CHECK(collector.takeGrowth()[key(New)] == OutcomeCounts{.sent = 30, .failed = 2});
-    collector.take(vm, "b", 1, counted(5, 1));
-    collector.take(vm, "b", 2, counted(9, 1));
+    collector.take(vm, "b", 1, newVersionCounts(5, 1));
+    collector.take(vm, "b", 2, newVersionCounts(9, 1));
     CHECK(collector.takeGrowth()[key(New)] == OutcomeCounts{.sent = 9, .failed = 1});
 }
 
-TEST_CASE("waits are counted when a bound is passed, each bound once")
+TEST_CASE("a wait is counted once per bound, when it exceeds the bound")
 {
     OutcomeCounters counters;
     std::uint8_t passed = 0;
@@ -86,36 +86,36 @@
     CHECK(counts.firstTokenOver[3] == 0);
 }
 
-TEST_CASE("the share of requests follows the log, and a larger share keeps the smaller one's")
+TEST_CASE("the share of requests on the new version matches the move's, and a larger share includes the requests of a smaller one")
 {
     VersionRouter small;
     VersionRouter large;
     small.setMoves({move(MoveState::Ramping, 100)});
     large.setMoves({move(MoveState::Ramping, 500)});
-    int chosen = 0;
+    int newVersionRequests = 0;
     for (int i = 0; i < 20'000; ++i) {
         const RequestId id{"vm1-" + std::to_string(i)};
         const bool isNew = small.choose(Drafting, Old, id, false, {}) == New;
-        chosen += isNew ? 1 : 0;
+        newVersionRequests += isNew ? 1 : 0;
         CHECK((!isNew || large.choose(Drafting, Old, id, false, {}) == New));
         CHECK(small.choose(Drafting, Old, id, true, {}) == Old);
     }
-    CHECK(chosen > 1'800);
-    CHECK(chosen < 2'200);
+    CHECK(newVersionRequests > 1'800);
+    CHECK(newVersionRequests < 2'200);
     CHECK(small.choose(ServiceName{"other"}, Old, RequestId{"x"}, false, {}) == Old);
 }
 
-TEST_CASE("requests that run at most once join when the move soaks")
+TEST_CASE("requests that run at most once go to the new version while the move soaks")
 {
     VersionRouter router;
     router.setMoves({move(MoveState::Soaking, 1000)});
     CHECK(router.choose(Drafting, Old, RequestId{"x"}, true, {}) == New);
 }
 
-TEST_CASE("a VM trips on plain failures of the new version at once, not on those of a whole fleet")
+TEST_CASE("a VM trips after three failures of the new version, but not when the old version fails too")
 {
-    // A caller sees three failed answers, then good ones of the old version, though the leader has not spoken yet. If the old version
-    // fails as well, the new one is not to blame and keeps its share.
+    // After three failures of the new version, requests go to the old version before the leader has decided. When the old version fails as
+    // well, the new version is not at fault and keeps its share.
     VersionRouter router;
     const TimePoint now{};
     router.setMoves({move(MoveState::Ramping, 1000)});
@@ -125,52 +125,52 @@
     router.ended(Drafting, New, true, now);
     CHECK(router.isTripped(Drafting, now));
     CHECK(router.choose(Drafting, Old, RequestId{"x"}, false, now) == Old);
-    VersionRouter fleet;
-    fleet.setMoves({move(MoveState::Ramping, 1000)});
+    VersionRouter fleetRouter;
+    fleetRouter.setMoves({move(MoveState::Ramping, 1000)});
     for (int i = 0; i < 5; ++i) {
-        fleet.ended(Drafting, Old, true, now);
-        fleet.ended(Drafting, New, true, now);
+        fleetRouter.ended(Drafting, Old, true, now);
+        fleetRouter.ended(Drafting, New, true, now);
     }
-    CHECK_FALSE(fleet.isTripped(Drafting, now));
+    CHECK_FALSE(fleetRouter.isTripped(Drafting, now));
 }
 
-TEST_CASE("the test finds a failing version and stays calm on equal ones, however often it looks")
+TEST_CASE("the verdict finds a failing version within three updates, and finds nothing in equal versions after any number of updates")
 {
     for (std::uint32_t seed = 0; seed < 300; ++seed) {
         std::mt19937_64 random(seed);
         MoveVerdict equal(2'400);
-        // Both versions fail in one request of fifty: as bad as each other, and not taken back.
+        // Both versions fail in one request of fifty, so there is nothing to find in the new one.
         for (int i = 0; i < 2'400; ++i) {
-            equal.look(look(random, 20, 0.02, 3, 0.02));
+            equal.update(randomOutcomes(random, 20, 0.02, 3, 0.02));
         }
         CHECK_FALSE(equal.finding());
         MoveVerdict failing(2'400);
-        int looks = 0;
-        while (!failing.finding() && ++looks < 100) {
-            failing.look(look(random, 20, 0.002, 3, 1));
+        int updates = 0;
+        while (!failing.finding() && ++updates < 100) {
+            failing.update(randomOutcomes(random, 20, 0.002, 3, 1));
         }
-        CHECK(looks <= 3);
+        CHECK(updates <= 3);
     }
 }
 
-TEST_CASE("good answers before a fault do not hide it")
+TEST_CASE("the verdict finds a fault that begins after many good answers")
 {
     for (std::uint32_t seed = 0; seed < 100; ++seed) {
         std::mt19937_64 random(seed);
         MoveVerdict verdict(2'400);
         for (int i = 0; i < 1'200; ++i) {
-            verdict.look(look(random, 20, 0.002, 3, 0.002));
+            verdict.update(randomOutcomes(random, 20, 0.002, 3, 0.002));
         }
         CHECK_FALSE(verdict.finding());
-        int looks = 0;
-        while (!verdict.finding() && ++looks < 100) {
-            verdict.look(look(random, 20, 0.002, 3, 1));
+        int updates = 0;
+        while (!verdict.finding() && ++updates < 100) {
+            verdict.update(randomOutcomes(random, 20, 0.002, 3, 1));
         }
-        CHECK(looks <= 4);
+        CHECK(updates <= 4);
     }
 }
 
-TEST_CASE("no share without evidence: a service without traffic keeps its old version, and operators are told why")
+TEST_CASE("a move of a service without traffic is rolled back at the deadline with the reason")
 {
     MoveRamp ramp(move(MoveState::Ramping, 0), 12, WallTime{0});
     Move state = move(MoveState::Ramping, 0);
@@ -184,7 +184,7 @@
     CHECK(state.reason == "no evidence by the deadline: 0 answers of the new version, 50 needed");
 }
 
-TEST_CASE("a deadline that can't be met is said at once")
+TEST_CASE("a move whose deadline is too tight is rolled back at once")
 {
     Move tight = move(MoveState::Ramping, 0);
     tight.deadline = WallTime{20'000};
--- a/tests/policy/pendingqueuetest.cpp
+++ b/tests/policy/pendingqueuetest.cpp
@@ -23,45 +23,45 @@
     };
 }
 
-std::string firstOf(const PendingQueue &queue)
+std::string firstId(const PendingQueue &queue)
 {
     return queue.first()->id.value;
 }
 
 }
 
-TEST_CASE("the queue gives the highest tier first, then the earliest deadline")
+TEST_CASE("the queue serves the highest tier first, then the earliest deadline")
 {
     PendingQueue queue;
     queue.add(pending("routine", 2, "a", 1s));
     queue.add(pending("late", 0, "a", 9s));
     queue.add(pending("soon", 0, "a", 5s));
-    CHECK(firstOf(queue) == "soon");
+    CHECK(firstId(queue) == "soon");
     CHECK(queue.dequeue(RequestId{"soon"}));
-    CHECK(firstOf(queue) == "late");
-    CHECK(queue.lowestTier() == TierRank{2});
-    CHECK(queue.takeFrom(TierRank{1}).size() == 1);
-    CHECK(queue.lowestTier() == TierRank{0});
-    CHECK(queue.takeExpired(TimePoint(9s)).size() == 1);
+    CHECK(firstId(queue) == "late");
+    CHECK(queue.lowestPendingTier() == TierRank{2});
+    CHECK(queue.removeTiersFrom(TierRank{1}).size() == 1);
+    CHECK(queue.lowestPendingTier() == TierRank{0});
+    CHECK(queue.removeExpired(TimePoint(9s)).size() == 1);
     CHECK(queue.first() == nullptr);
 }
 
-TEST_CASE("an organisation that asks much does not keep the others waiting")
+TEST_CASE("an organisation with many requests does not starve the others")
 {
-    // A hall office sends ten long requests with early deadlines before an elder's one. After the first of them the elder is served,
-    // for the work of the two would else differ by more than is even.
+    // One organisation enqueues ten long requests with early deadlines before another one enqueues a single request. After the first of the
+    // ten, the single request is next, since the organisations' served work would otherwise differ by more than the tolerance.
     PendingQueue queue;
     for (int i = 0; i < 10; ++i) {
         queue.add(pending("hall-" + std::to_string(i), 1, "halls", 1s));
     }
     queue.add(pending("elder", 1, "elders", 20s));
-    CHECK(firstOf(queue) == "hall-0");
+    CHECK(firstId(queue) == "hall-0");
     queue.dequeue(RequestId{"hall-0"});
-    CHECK(firstOf(queue) == "elder");
+    CHECK(firstId(queue) == "elder");
     CHECK(queue.inOrder(2).size() == 2);
 }
 
-TEST_CASE("placement prefers the upstream where the request finishes first and skips one that is too slow")
+TEST_CASE("placement chooses the upstream where the request finishes first and skips one that is too slow")
 {
     std::vector<UpstreamState> upstreams{
         {.slots = 8, .window = 8, .tokenMicroseconds = 60'000, .speedMeasured = true},
@@ -73,22 +73,22 @@
     CHECK_FALSE(choosePlacement(upstreams, request, {}, TimePoint{}));
     request.deadline = TimePoint(8s);
     CHECK(choosePlacement(upstreams, request, {}, TimePoint{}) == 0U);
-    // A speed that nobody measured keeps nothing from running.
+    // An upstream whose speed has not been measured is never skipped as too slow.
     request.deadline = TimePoint(1ms);
     upstreams[0].speedMeasured = false;
     CHECK(choosePlacement(upstreams, request, {}, TimePoint{}) == 0U);
 }
 
-TEST_CASE("lengths are learned by service and route")
+TEST_CASE("answer lengths are predicted by service and route")
 {
     LengthEstimate lengths;
     for (int i = 0; i < 500; ++i) {
         lengths.recordAnswer(ServiceName{"drafting"}, "chat", TokenCount{0}, TokenCount{static_cast<std::uint32_t>(100 + i % 100)});
         lengths.recordAnswer(ServiceName{"drafting"}, "chat", TokenCount{400}, TokenCount{200});
     }
-    const std::uint32_t unsaid = lengths.answer(ServiceName{"drafting"}, "chat", TokenCount{0}).value;
-    CHECK(unsaid > 150);
-    CHECK(unsaid < 230);
+    const std::uint32_t withoutLimit = lengths.answer(ServiceName{"drafting"}, "chat", TokenCount{0}).value;
+    CHECK(withoutLimit > 150);
+    CHECK(withoutLimit < 230);
     CHECK(lengths.answer(ServiceName{"drafting"}, "chat", TokenCount{100}).value < 60);
     CHECK(lengths.answer(ServiceName{"drafting"}, "completions", TokenCount{0}).value == 64);
 }
