--- a/src/bench/cumindykepolicy.cpp
+++ b/src/bench/cumindykepolicy.cpp
@@ -225,7 +225,7 @@
                     return;
                 }
                 held->scheduler->takeReport(message.report.vm, message.report, then);
-                held->scheduler->takeDemand(message.demand.vm, message.demand, then);
+                held->scheduler->handleDemand(message.demand.vm, message.demand, then);
                 scheduleStep(*held, then);
             });
         }
--- a/src/cell/cellscheduler.cpp
+++ b/src/cell/cellscheduler.cpp
@@ -145,7 +145,7 @@
     return vm;
 }
 
-void CellScheduler::takeDemand(const VmName &name, const Demand &demand, TimePoint now)
+void CellScheduler::handleDemand(const VmName &name, const Demand &demand, TimePoint now)
 {
     Vm &vm = vmOf(name, now);
     if (demand.sequence <= vm.demandSequence) {
--- a/src/cell/cellscheduler.h
+++ b/src/cell/cellscheduler.h
@@ -68,7 +68,7 @@
     /// Unreachable or leaving upstreams get no grant.
     void setUsable(const UpstreamName &upstream, bool usable);
 
-    void takeDemand(const VmName &vm, const Demand &demand, TimePoint now);
+    void handleDemand(const VmName &vm, const Demand &demand, TimePoint now);
     void takeReport(const VmName &vm, const GrantReport &report, TimePoint now);
     void takeLoad(const UpstreamName &upstream, const UpstreamLoad &load, TimePoint now);
     void takeCacheEvent(const UpstreamName &upstream, std::uint64_t prefix, bool stored);
--- a/src/celltask/celltask.cpp
+++ b/src/celltask/celltask.cpp
@@ -177,7 +177,7 @@
     const TimePoint now = EventLoop::now();
     if (message.envelope.has_demand()) {
         if (CellScheduler *scheduler = schedulerOf(message.envelope.demand().cell())) {
-            scheduler->takeDemand(message.from, fromProto(message.envelope.demand()), now);
+            scheduler->handleDemand(message.from, fromProto(message.envelope.demand()), now);
             messageCame(now);
         }
     } else if (message.envelope.has_grant_report()) {
--- a/src/microbench/microbench.cpp
+++ b/src/microbench/microbench.cpp
@@ -116,7 +116,7 @@
         const VmName vm{"entry-" + std::to_string(sequence % 8)};
         GrantReport report{.cell = demand.cell, .vm = vm, .epoch = Epoch{1}, .sequence = sequence, .grantsSeen = sequence};
         scheduler.takeReport(vm, report, now);
-        scheduler.takeDemand(vm, demand, now);
+        scheduler.handleDemand(vm, demand, now);
         benchmark::DoNotOptimize(scheduler.step(now));
     }
     state.counters["per_grant"] = benchmark::Counter(16, benchmark::Counter::kIsIterationInvariantRate | benchmark::Counter::kInvert);
--- a/tests/cell/schedulertest.cpp
+++ b/tests/cell/schedulertest.cpp
@@ -67,7 +67,7 @@
     {
         for (const CellMessages &message : books[vm].messages(Drafting, queues[vm], V1, now)) {
             to.takeReport(message.report.vm, fromProto(toProto(message.report)), now);
-            to.takeDemand(message.demand.vm, fromProto(toProto(message.demand)), now);
+            to.handleDemand(message.demand.vm, fromProto(toProto(message.demand)), now);
         }
     }
 
