--- a/src/bench/cumindykepolicy.cpp
+++ b/src/bench/cumindykepolicy.cpp
@@ -224,7 +224,7 @@
                 if (!held->scheduler) {
                     return;
                 }
-                held->scheduler->takeReport(message.report.vm, message.report, then);
+                held->scheduler->handleReport(message.report.vm, message.report, then);
                 held->scheduler->handleDemand(message.demand.vm, message.demand, then);
                 scheduleStep(*held, then);
             });
--- a/src/cell/cellscheduler.cpp
+++ b/src/cell/cellscheduler.cpp
@@ -185,7 +185,7 @@
     }
 }
 
-void CellScheduler::takeReport(const VmName &name, const GrantReport &report, TimePoint now)
+void CellScheduler::handleReport(const VmName &name, const GrantReport &report, TimePoint now)
 {
     Vm &vm = vmOf(name, now);
     if (report.sequence <= vm.reportSequence) {
--- a/src/cell/cellscheduler.h
+++ b/src/cell/cellscheduler.h
@@ -69,7 +69,7 @@
     void setUsable(const UpstreamName &upstream, bool usable);
 
     void handleDemand(const VmName &vm, const Demand &demand, TimePoint now);
-    void takeReport(const VmName &vm, const GrantReport &report, TimePoint now);
+    void handleReport(const VmName &vm, const GrantReport &report, TimePoint now);
     void takeLoad(const UpstreamName &upstream, const UpstreamLoad &load, TimePoint now);
     void takeCacheEvent(const UpstreamName &upstream, std::uint64_t prefix, bool stored);
 
--- a/src/celltask/celltask.cpp
+++ b/src/celltask/celltask.cpp
@@ -182,7 +182,7 @@
         }
     } else if (message.envelope.has_grant_report()) {
         if (CellScheduler *scheduler = schedulerOf(message.envelope.grant_report().cell())) {
-            scheduler->takeReport(message.from, fromProto(message.envelope.grant_report()), now);
+            scheduler->handleReport(message.from, fromProto(message.envelope.grant_report()), now);
             messageCame(now);
         }
     }
--- a/src/microbench/microbench.cpp
+++ b/src/microbench/microbench.cpp
@@ -115,7 +115,7 @@
         demand.sequence = sequence;
         const VmName vm{"entry-" + std::to_string(sequence % 8)};
         GrantReport report{.cell = demand.cell, .vm = vm, .epoch = Epoch{1}, .sequence = sequence, .grantsSeen = sequence};
-        scheduler.takeReport(vm, report, now);
+        scheduler.handleReport(vm, report, now);
         scheduler.handleDemand(vm, demand, now);
         benchmark::DoNotOptimize(scheduler.step(now));
     }
--- a/tests/cell/schedulertest.cpp
+++ b/tests/cell/schedulertest.cpp
@@ -66,7 +66,7 @@
     void report(int vm, CellScheduler &to, TimePoint now)
     {
         for (const CellMessages &message : books[vm].messages(Drafting, queues[vm], V1, now)) {
-            to.takeReport(message.report.vm, fromProto(toProto(message.report)), now);
+            to.handleReport(message.report.vm, fromProto(toProto(message.report)), now);
             to.handleDemand(message.demand.vm, fromProto(toProto(message.demand)), now);
         }
     }
