--- a/src/bench/cumindykepolicy.cpp
+++ b/src/bench/cumindykepolicy.cpp
@@ -277,7 +277,7 @@
             continue;
         }
         const EngineLoad load = upstream.engine.reportedLoad(now);
-        cell.scheduler->takeLoad(
+        cell.scheduler->handleLoad(
             upstream.name, UpstreamLoad{.running = load.running, .waiting = load.waiting, .generatedTokens = load.generatedTokens, .at = load.at}, now);
         for (const CacheEvent &event : upstream.engine.cacheEvents(cell.cacheSequences[index], now)) {
             cell.scheduler->takeCacheEvent(upstream.name, event.prefix, event.stored);
--- a/src/cell/cellscheduler.cpp
+++ b/src/cell/cellscheduler.cpp
@@ -226,7 +226,7 @@
     m_upstreams[unseen.upstream].longInFlight -= unseen.isLong ? 1 : 0;
 }
 
-void CellScheduler::takeLoad(const UpstreamName &name, const UpstreamLoad &load, TimePoint /*now*/)
+void CellScheduler::handleLoad(const UpstreamName &name, const UpstreamLoad &load, TimePoint /*now*/)
 {
     const auto index = upstreamIndex(name);
     if (!index) {
--- a/src/celltask/celltask.cpp
+++ b/src/celltask/celltask.cpp
@@ -39,7 +39,7 @@
         if (CellScheduler *scheduler = schedulerOf(name)) {
             const TimePoint now = EventLoop::now();
             scheduler->setUsable(name, !report.draining);
-            scheduler->takeLoad(
+            scheduler->handleLoad(
                 name, UpstreamLoad{.running = report.running, .waiting = report.waiting, .generatedTokens = report.generatedTokens, .at = now}, now);
         }
     });
--- a/tests/cell/schedulertest.cpp
+++ b/tests/cell/schedulertest.cpp
@@ -242,7 +242,7 @@
     Bench bench(8);
     const auto window = [&] { return bench.scheduler.upstream(UpstreamName{"drafting-1"})->window; };
     const auto load = [&](std::uint32_t running, std::uint32_t waiting, Duration when) {
-        bench.scheduler.takeLoad(UpstreamName{"drafting-1"}, UpstreamLoad{.running = running, .waiting = waiting, .at = at(when)}, at(when));
+        bench.scheduler.handleLoad(UpstreamName{"drafting-1"}, UpstreamLoad{.running = running, .waiting = waiting, .at = at(when)}, at(when));
     };
     load(4, 2, 1s);
     CHECK(window() == 8);
@@ -272,7 +272,7 @@
 
     for (int i = 1; i <= 3; ++i) {
         const UpstreamLoad load{.running = 1, .generatedTokens = 50U * static_cast<std::uint64_t>(i), .at = at(1s * i)};
-        bench.scheduler.takeLoad(UpstreamName{"drafting-1"}, load, at(1s * i));
+        bench.scheduler.handleLoad(UpstreamName{"drafting-1"}, load, at(1s * i));
     }
     bench.queues[0].add(pending("short", 0));
     bench.report(0, bench.scheduler, at(4s));
