--- a/src/bench/cumindykepolicy.cpp
+++ b/src/bench/cumindykepolicy.cpp
@@ -280,7 +280,7 @@
         cell.scheduler->handleLoad(
             upstream.name, UpstreamLoad{.running = load.running, .waiting = load.waiting, .generatedTokens = load.generatedTokens, .at = load.at}, now);
         for (const CacheEvent &event : upstream.engine.cacheEvents(cell.cacheSequences[index], now)) {
-            cell.scheduler->takeCacheEvent(upstream.name, event.prefix, event.stored);
+            cell.scheduler->handleCacheEvent(upstream.name, event.prefix, event.stored);
             cell.cacheSequences[index] = event.sequence;
         }
     }
--- a/src/cell/cellscheduler.cpp
+++ b/src/cell/cellscheduler.cpp
@@ -269,7 +269,7 @@
     token = std::exchange(m_upstreams[index].speedMeasured, true) ? token + SpeedGain * (measured - token) : measured;
 }
 
-void CellScheduler::takeCacheEvent(const UpstreamName &upstream, std::uint64_t prefix, bool stored)
+void CellScheduler::handleCacheEvent(const UpstreamName &upstream, std::uint64_t prefix, bool stored)
 {
     const auto index = upstreamIndex(upstream);
     if (!index || !m_options.useCacheEvents) {
--- a/src/cell/cellscheduler.h
+++ b/src/cell/cellscheduler.h
@@ -71,7 +71,7 @@
     void handleDemand(const VmName &vm, const Demand &demand, TimePoint now);
     void handleReport(const VmName &vm, const GrantReport &report, TimePoint now);
     void handleLoad(const UpstreamName &upstream, const UpstreamLoad &load, TimePoint now);
-    void takeCacheEvent(const UpstreamName &upstream, std::uint64_t prefix, bool stored);
+    void handleCacheEvent(const UpstreamName &upstream, std::uint64_t prefix, bool stored);
 
     /// Decides, and returns what is to be sent: to VMs that get capacity, or whose last demand has had no answer.
     /// Call it some milliseconds after a message came (coalescing), and every 100 ms.
--- a/src/celltask/celltask.cpp
+++ b/src/celltask/celltask.cpp
@@ -49,7 +49,7 @@
             return;
         }
         for (const PrefixEvent &event : events) {
-            scheduler->takeCacheEvent(name, event.prefix, event.stored);
+            scheduler->handleCacheEvent(name, event.prefix, event.stored);
         }
     });
     m_watch.reachable().connect([this](const UpstreamName &name) {
