--- a/src/bench/cumindykepolicy.cpp
+++ b/src/bench/cumindykepolicy.cpp
@@ -55,7 +55,7 @@
     const std::uint32_t vms = m_world.scenario().entryVms;
     for (std::uint32_t i = 0; i < vms; ++i) {
         const VmName name{"entry-" + std::to_string(i)};
-        m_vms.push_back(Vm{.name = name, .queues = {}, .book = GrantBook(name), .lengths = {}, .slots = {}});
+        m_vms.push_back(Vm{.name = name, .queues = {}, .book = GrantPool(name), .lengths = {}, .slots = {}});
         m_vms.back().book.setUpstreams(known, VmShare{.index = i, .count = vms});
         m_world.at(TimePoint(SweepInterval * (i + 1) / vms), [this, i](TimePoint now) { sweep(i, now); });
     }
--- a/src/bench/cumindykepolicy.h
+++ b/src/bench/cumindykepolicy.h
@@ -36,7 +36,7 @@
     {
         VmName name;
         std::map<ServiceName, PendingQueue> queues;
-        GrantBook book;
+        GrantPool book;
         LengthEstimate lengths;
         std::unordered_map<std::uint32_t, Slot> slots;
         bool flushScheduled = false;
--- a/src/cell/grantpool.cpp
+++ b/src/cell/grantpool.cpp
@@ -62,18 +62,18 @@
     return static_cast<std::uint32_t>(key);
 }
 
-GrantBook::GrantBook(VmName vm)
+GrantPool::GrantPool(VmName vm)
     : m_vm(std::move(vm))
 {
 }
 
-std::optional<std::uint32_t> GrantBook::cellIndex(const CellName &cell) const
+std::optional<std::uint32_t> GrantPool::cellIndex(const CellName &cell) const
 {
     const auto found = std::ranges::find(m_cells, cell, &Cell::name);
     return found == m_cells.end() ? std::nullopt : std::optional(static_cast<std::uint32_t>(found - m_cells.begin()));
 }
 
-std::uint32_t GrantBook::addCell(const BookUpstream &upstream)
+std::uint32_t GrantPool::addCell(const BookUpstream &upstream)
 {
     if (const auto known = cellIndex(upstream.cell)) {
         return *known;
@@ -82,7 +82,7 @@
     return static_cast<std::uint32_t>(m_cells.size() - 1);
 }
 
-void GrantBook::setUpstreams(const std::vector<BookUpstream> &upstreams, VmShare share)
+void GrantPool::setUpstreams(const std::vector<BookUpstream> &upstreams, VmShare share)
 {
     for (UpstreamSlots &known : m_upstreams) {
         known.declared = false;
@@ -103,7 +103,7 @@
     }
 }
 
-void GrantBook::take(const Grants &grants, TimePoint now)
+void GrantPool::take(const Grants &grants, TimePoint now)
 {
     const auto index = cellIndex(grants.cell);
     if (!index) {
@@ -148,7 +148,7 @@
     }
 }
 
-std::optional<Slot> GrantBook::acquire(const PendingRequest &request, const Declarations & /*declarations*/, const VersionName &version, TimePoint now)
+std::optional<Slot> GrantPool::acquire(const PendingRequest &request, const Declarations & /*declarations*/, const VersionName &version, TimePoint now)
 {
     if (auto slot = acquireGrant(request, version, demandKey(request, version), now)) {
         return slot;
@@ -160,7 +160,7 @@
 }
 
 /// Its own grant first; else one of a lower tier, so that urgent work need not wait for an answer while less urgent work has its slot.
-std::optional<Slot> GrantBook::acquireGrant(const PendingRequest &request, const VersionName &version, std::uint32_t key, TimePoint now)
+std::optional<Slot> GrantPool::acquireGrant(const PendingRequest &request, const VersionName &version, std::uint32_t key, TimePoint now)
 {
     for (const bool own : {true, false}) {
         for (Cell &cell : m_cells) {
@@ -185,7 +185,7 @@
     return {};
 }
 
-std::optional<Slot> GrantBook::takeGrant(Cell &cell, std::vector<HeldGrant>::iterator grant, const PendingRequest &request)
+std::optional<Slot> GrantPool::takeGrant(Cell &cell, std::vector<HeldGrant>::iterator grant, const PendingRequest &request)
 {
     const HeldGrant used = *grant;
     --m_upstreams[used.upstream].unused;
@@ -194,7 +194,7 @@
 }
 
 /// The kept slot on the fastest upstream. Not for a request with a prefix: the scheduler knows the caches and had better place it.
-std::optional<Slot> GrantBook::acquireKept(const PendingRequest &request, const VersionName &version, TimePoint now)
+std::optional<Slot> GrantPool::acquireKept(const PendingRequest &request, const VersionName &version, TimePoint now)
 {
     Cell *bestCell = nullptr;
     std::vector<HeldGrant>::iterator best;
@@ -212,7 +212,7 @@
     return bestCell ? takeGrant(*bestCell, best, request) : std::nullopt;
 }
 
-bool GrantBook::mayUseKept(const HeldGrant &grant, const PendingRequest &request, const VersionName &version, TimePoint now) const
+bool GrantPool::mayUseKept(const HeldGrant &grant, const PendingRequest &request, const VersionName &version, TimePoint now) const
 {
     const UpstreamSlots &upstream = m_upstreams[grant.upstream];
     if (!grant.kept || grant.expiry <= now || !upstream.declared || upstream.upstream.version != version || upstream.unreachableUntil > now) {
@@ -225,7 +225,7 @@
     return grant.perToken * request.answerTokens.value <= (request.deadline - now) / 2;
 }
 
-std::optional<Slot> GrantBook::acquireShare(const PendingRequest &request, const VersionName &version, TimePoint now)
+std::optional<Slot> GrantPool::acquireShare(const PendingRequest &request, const VersionName &version, TimePoint now)
 {
     std::optional<std::uint32_t> best;
     double bestPart = 1;
@@ -246,7 +246,7 @@
     return best ? use(*best, request, nullptr) : std::nullopt;
 }
 
-std::optional<Slot> GrantBook::use(std::uint32_t index, const PendingRequest &request, const HeldGrant *grant)
+std::optional<Slot> GrantPool::use(std::uint32_t index, const PendingRequest &request, const HeldGrant *grant)
 {
     UpstreamSlots &slots = m_upstreams[index];
     const bool longWork = isLong(request.promptTokens, request.answerTokens);
@@ -261,7 +261,7 @@
     return Slot{.upstream = slots.upstream.name, .grant = m_lastSlot};
 }
 
-void GrantBook::release(const Slot &slot, TimePoint now)
+void GrantPool::release(const Slot &slot, TimePoint now)
 {
     const auto found = m_inUse.find(slot.grant);
     if (found == m_inUse.end()) {
@@ -283,7 +283,7 @@
     cell.unused.push_back(HeldGrant{.upstream = used.upstream, .expiry = now + cell.keep, .perToken = used.perToken, .kept = true});
 }
 
-void GrantBook::noteUnreachable(const UpstreamName &upstream, TimePoint now)
+void GrantPool::noteUnreachable(const UpstreamName &upstream, TimePoint now)
 {
     const auto found = m_upstreamIndex.find(upstream);
     if (found == m_upstreamIndex.end()) {
@@ -293,24 +293,24 @@
     m_cells[m_upstreams[found->second].cell].heldChanged = true;
 }
 
-bool GrantBook::exhausted(TimePoint now) const
+bool GrantPool::exhausted(TimePoint now) const
 {
     return std::ranges::none_of(m_cells, [this, now](const Cell &cell) { return !cell.unused.empty() || fallback(cell, now); });
 }
 
-bool GrantBook::fallback(const Cell &cell, TimePoint now) const
+bool GrantPool::fallback(const Cell &cell, TimePoint now) const
 {
     return cell.unansweredSince && now - *cell.unansweredSince >= FallbackAfter;
 }
 
-bool GrantBook::isFallback(const CellName &cell, TimePoint now) const
+bool GrantPool::isFallback(const CellName &cell, TimePoint now) const
 {
     const auto index = cellIndex(cell);
     return index && fallback(m_cells[*index], now);
 }
 
 /// Gives back grants that found no request here, and kept slots that have expired, or all of them.
-void GrantBook::giveBack(Cell &cell, bool keptToo, TimePoint now)
+void GrantPool::giveBack(Cell &cell, bool keptToo, TimePoint now)
 {
     const std::size_t before = cell.unused.size();
     std::erase_if(cell.unused, [&](const HeldGrant &grant) {
@@ -326,7 +326,7 @@
 
 /// Rendezvous hashing (Thaler, Ravishankar 1998): each VM finds the same home for a prefix, and a cell that comes or goes moves only
 /// its own part.
-std::uint32_t GrantBook::homeCell(const ServiceName &service, std::uint64_t prefix) const
+std::uint32_t GrantPool::homeCell(const ServiceName &service, std::uint64_t prefix) const
 {
     std::uint32_t home = 0;
     std::uint64_t highest = 0;
@@ -340,7 +340,7 @@
     return home;
 }
 
-std::vector<DemandLine> GrantBook::lines(std::uint32_t cell, const PendingQueue &queue, const VersionName &serviceVersion, TimePoint now) const
+std::vector<DemandLine> GrantPool::lines(std::uint32_t cell, const PendingQueue &queue, const VersionName &serviceVersion, TimePoint now) const
 {
     std::vector<DemandLine> found;
     for (const PendingRequest *request : queue.inOrder(4 * MaxLines)) {
@@ -375,7 +375,7 @@
     return found;
 }
 
-GrantReport GrantBook::report(const Cell &cell, std::uint32_t index, TimePoint now) const
+GrantReport GrantPool::report(const Cell &cell, std::uint32_t index, TimePoint now) const
 {
     GrantReport report{
         .cell = cell.name, .vm = m_vm, .epoch = cell.epoch, .sequence = cell.sequence, .grantsSeen = cell.grantsSeen, .inFlight = {}, .unreachable = {}};
@@ -398,7 +398,7 @@
     return report;
 }
 
-bool GrantBook::isDue(const Cell &cell, std::uint32_t index, std::uint64_t linesNow, bool waits, TimePoint now) const
+bool GrantPool::isDue(const Cell &cell, std::uint32_t index, std::uint64_t linesNow, bool waits, TimePoint now) const
 {
     const bool holds = std::ranges::any_of(m_upstreams, [index](const UpstreamSlots &slots) { return slots.cell == index && slots.running > 0; });
     const Duration quiet = now - cell.lastSent;
@@ -409,7 +409,7 @@
     return (cell.heldChanged || linesNow != cell.lastLines) && (cell.keep == Duration::zero() || quiet >= LazyReport);
 }
 
-std::vector<CellMessages> GrantBook::messages(const ServiceName &service, const PendingQueue &queue, const VersionName &serviceVersion, TimePoint now)
+std::vector<CellMessages> GrantPool::messages(const ServiceName &service, const PendingQueue &queue, const VersionName &serviceVersion, TimePoint now)
 {
     std::vector<CellMessages> due;
     const auto mustShed = m_mustShed.find(service);
@@ -449,12 +449,12 @@
     return due;
 }
 
-void GrantBook::setMustShed(const ServiceName &service, std::optional<TierRank> tier)
+void GrantPool::setMustShed(const ServiceName &service, std::optional<TierRank> tier)
 {
     m_mustShed[service] = tier;
 }
 
-bool GrantBook::mayShed(const ServiceName &service, TierRank tier, TimePoint now) const
+bool GrantPool::mayShed(const ServiceName &service, TierRank tier, TimePoint now) const
 {
     return std::ranges::none_of(m_cells, [&](const Cell &cell) {
         if (cell.service != service || now - cell.lastHeard >= FloorAge) {
@@ -465,7 +465,7 @@
     });
 }
 
-std::optional<TierRank> GrantBook::refuseFrom(const ServiceName &service, TimePoint now) const
+std::optional<TierRank> GrantPool::refuseFrom(const ServiceName &service, TimePoint now) const
 {
     std::optional<TierRank> highest;
     for (const Cell &cell : m_cells) {
@@ -477,7 +477,7 @@
     return highest;
 }
 
-RunSpeed GrantBook::speed(const ServiceName &service) const
+RunSpeed GrantPool::speed(const ServiceName &service) const
 {
     RunSpeed best{.perToken = Duration::max()};
     for (const Cell &cell : m_cells) {
--- a/src/cell/grantpool.h
+++ b/src/cell/grantpool.h
@@ -53,10 +53,10 @@
 /// service. What comes too much is given back at once. While a cell's scheduler does not answer, this VM uses its fixed share of
 /// the cell's slots, so that all VMs together can't overrun an engine. While nobody waits in a cell, a slot whose request has ended
 /// and had no prefix stays here for the next request for some hundred milliseconds, and no message is needed. Pure: the caller passes the time.
-class GrantBook
+class GrantPool
 {
 public:
-    explicit GrantBook(VmName vm);
+    explicit GrantPool(VmName vm);
 
     /// The upstreams and the VM's share from now on. What is held of an upstream that left stays counted until it is released.
     void setUpstreams(const std::vector<BookUpstream> &upstreams, VmShare share);
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -21,7 +21,7 @@
 class Dispatcher
 {
 public:
-    using Capacity = GrantBook;
+    using Capacity = GrantPool;
 
     /// All VMs, this one too: without a scheduler each uses its share of a cell.
     Dispatcher(const VmName &vm, const std::set<VmName> &vms);
--- a/tests/cell/schedulertest.cpp
+++ b/tests/cell/schedulertest.cpp
@@ -42,7 +42,7 @@
 {
     std::uint32_t slots;
     CellScheduler scheduler = makeScheduler(Epoch{1}, {}, at(0s));
-    GrantBook books[2] = {GrantBook(First), GrantBook(Second)};
+    GrantPool books[2] = {GrantPool(First), GrantPool(Second)};
     PendingQueue queues[2];
     Declarations declarations;
 
