--- a/src/bench/cumindykepolicy.cpp
+++ b/src/bench/cumindykepolicy.cpp
@@ -39,7 +39,7 @@
 
 void CumindykePolicy::makeCells()
 {
-    std::vector<BookUpstream> known;
+    std::vector<PooledUpstream> known;
     for (std::uint32_t i = 0; i < m_world.upstreams().size(); ++i) {
         const BenchUpstream &upstream = m_world.upstreams()[i];
         m_versions.emplace(upstream.service, upstream.version);
@@ -50,7 +50,7 @@
         cell.dataCentre = upstream.dataCentre;
         cell.host = upstream.dataCentre % m_world.scenario().entryVms;
         cell.upstreams.push_back(i);
-        known.push_back(BookUpstream{.name = upstream.name, .service = upstream.service, .version = upstream.version, .cell = name, .slots = upstream.slots});
+        known.push_back(PooledUpstream{.name = upstream.name, .service = upstream.service, .version = upstream.version, .cell = name, .slots = upstream.slots});
     }
     const std::uint32_t vms = m_world.scenario().entryVms;
     for (std::uint32_t i = 0; i < vms; ++i) {
--- a/src/cell/grantpool.cpp
+++ b/src/cell/grantpool.cpp
@@ -73,7 +73,7 @@
     return found == m_cells.end() ? std::nullopt : std::optional(static_cast<std::uint32_t>(found - m_cells.begin()));
 }
 
-std::uint32_t GrantPool::addCell(const BookUpstream &upstream)
+std::uint32_t GrantPool::addCell(const PooledUpstream &upstream)
 {
     if (const auto known = cellIndex(upstream.cell)) {
         return *known;
@@ -82,13 +82,13 @@
     return static_cast<std::uint32_t>(m_cells.size() - 1);
 }
 
-void GrantPool::setUpstreams(const std::vector<BookUpstream> &upstreams, VmShare share)
+void GrantPool::setUpstreams(const std::vector<PooledUpstream> &upstreams, VmShare share)
 {
     for (UpstreamSlots &known : m_upstreams) {
         known.declared = false;
     }
     std::uint32_t number = 0;
-    for (const BookUpstream &upstream : upstreams) {
+    for (const PooledUpstream &upstream : upstreams) {
         const auto [found, added] = m_upstreamIndex.try_emplace(upstream.name, m_upstreams.size());
         if (added) {
             m_upstreams.emplace_back();
--- a/src/cell/grantpool.h
+++ b/src/cell/grantpool.h
@@ -12,7 +12,7 @@
 {
 
 /// An upstream as entry VMs know it from the declarations.
-struct BookUpstream
+struct PooledUpstream
 {
     UpstreamName name;
     ServiceName service;
@@ -59,7 +59,7 @@
     explicit GrantPool(VmName vm);
 
     /// The upstreams and the VM's share from now on. What is held of an upstream that left stays counted until it is released.
-    void setUpstreams(const std::vector<BookUpstream> &upstreams, VmShare share);
+    void setUpstreams(const std::vector<PooledUpstream> &upstreams, VmShare share);
 
     /// Takes a scheduler's answer; one of an older epoch, or that came before, is ignored.
     void take(const Grants &grants, TimePoint now);
@@ -108,7 +108,7 @@
     };
     struct UpstreamSlots
     {
-        BookUpstream upstream;
+        PooledUpstream upstream;
         std::uint32_t cell = 0;
         std::uint32_t running = 0;
         std::uint32_t longRunning = 0;
@@ -141,7 +141,7 @@
     };
 
     std::optional<std::uint32_t> cellIndex(const CellName &cell) const;
-    std::uint32_t addCell(const BookUpstream &upstream);
+    std::uint32_t addCell(const PooledUpstream &upstream);
     bool fallback(const Cell &cell, TimePoint now) const;
     std::uint32_t homeCell(const ServiceName &service, std::uint64_t prefix) const;
     std::optional<Slot> use(std::uint32_t upstream, const PendingRequest &request, const HeldGrant *grant);
--- a/src/entry/dispatcher.cpp
+++ b/src/entry/dispatcher.cpp
@@ -26,13 +26,13 @@
     if (declarations != m_declarations || resting != m_resting) {
         m_declarations = std::move(declarations);
         m_resting = resting;
-        std::vector<BookUpstream> upstreams;
+        std::vector<PooledUpstream> upstreams;
         for (const auto &[name, upstream] : m_declarations->upstreams()) {
             if (m_resting.contains(name)) {
                 continue;
             }
             const CellName cell{upstream.service.value + "/" + upstream.dataCentre.value};
-            upstreams.push_back(BookUpstream{.name = name, .service = upstream.service, .version = upstream.version, .cell = cell, .slots = upstream.slots});
+            upstreams.push_back(PooledUpstream{.name = name, .service = upstream.service, .version = upstream.version, .cell = cell, .slots = upstream.slots});
         }
         m_capacity.setUpstreams(upstreams, m_share);
     }
