--- a/src/bench/cumindykepolicy.cpp
+++ b/src/bench/cumindykepolicy.cpp
@@ -151,7 +151,7 @@
     vm.book.release(vm.slots.at(request.index), now);
     vm.slots.erase(request.index);
     if (end == DispatchEnd::NotSent) {
-        vm.book.noteUnreachable(upstream.name, now);
+        vm.book.recordUnreachable(upstream.name, now);
         enqueue(request, now);
     } else if (end == DispatchEnd::Whole) {
         vm.lengths.recordAnswer(request.service, request.route, request.answerLimit, request.answer);
--- a/src/cell/grantpool.cpp
+++ b/src/cell/grantpool.cpp
@@ -283,7 +283,7 @@
     cell.unused.push_back(HeldGrant{.upstream = used.upstream, .expiry = now + cell.keep, .perToken = used.perToken, .kept = true});
 }
 
-void GrantPool::noteUnreachable(const UpstreamName &upstream, TimePoint now)
+void GrantPool::recordUnreachable(const UpstreamName &upstream, TimePoint now)
 {
     const auto found = m_upstreamIndex.find(upstream);
     if (found == m_upstreamIndex.end()) {
--- a/src/cell/grantpool.h
+++ b/src/cell/grantpool.h
@@ -67,7 +67,7 @@
     std::optional<Slot> acquire(const PendingRequest &request, const Declarations &declarations, const VersionName &version, TimePoint now);
     void release(const Slot &slot, TimePoint now);
     /// A connection to the upstream was refused: it is left out for a second, and the scheduler is told.
-    void noteUnreachable(const UpstreamName &upstream, TimePoint now);
+    void recordUnreachable(const UpstreamName &upstream, TimePoint now);
     /// True when acquire() can give nothing to anybody now.
     bool exhausted(TimePoint now) const;
 
--- a/src/entry/dispatcher.cpp
+++ b/src/entry/dispatcher.cpp
@@ -60,7 +60,7 @@
 void Dispatcher::refresh(TimePoint now)
 {
     for (const UpstreamName &upstream : m_availability.unusable(now)) {
-        m_capacity.noteUnreachable(upstream, now);
+        m_capacity.recordUnreachable(upstream, now);
     }
     rerouteWaiting(now);
 }
