--- a/src/bench/cumindykepolicy.cpp
+++ b/src/bench/cumindykepolicy.cpp
@@ -255,7 +255,7 @@
             if (!m_world.vmAlive(index)) {
                 return;
             }
-            m_vms[index].book.take(message, then);
+            m_vms[index].book.handleGrants(message, then);
             serve(index, then);
             scheduleFlush(index, then);
         });
--- a/src/cell/grantpool.cpp
+++ b/src/cell/grantpool.cpp
@@ -103,7 +103,7 @@
     }
 }
 
-void GrantPool::take(const Grants &grants, TimePoint now)
+void GrantPool::handleGrants(const Grants &grants, TimePoint now)
 {
     const auto index = cellIndex(grants.cell);
     if (!index) {
--- a/src/cell/grantpool.h
+++ b/src/cell/grantpool.h
@@ -62,7 +62,7 @@
     void setUpstreams(const std::vector<PooledUpstream> &upstreams, VmShare share);
 
     /// Takes a scheduler's answer; one of an older epoch, or that came before, is ignored.
-    void take(const Grants &grants, TimePoint now);
+    void handleGrants(const Grants &grants, TimePoint now);
     /// A slot whose grant was for requests like this one, or for a lower tier.
     std::optional<Slot> acquire(const PendingRequest &request, const Declarations &declarations, const VersionName &version, TimePoint now);
     void release(const Slot &slot, TimePoint now);
--- a/src/entry/dispatcher.cpp
+++ b/src/entry/dispatcher.cpp
@@ -164,7 +164,7 @@
 
 void Dispatcher::takeGrants(const Grants &grants, TimePoint now)
 {
-    m_capacity.take(grants, now);
+    m_capacity.handleGrants(grants, now);
     serveAll(now);
 }
 
--- a/tests/cell/schedulertest.cpp
+++ b/tests/cell/schedulertest.cpp
@@ -75,7 +75,7 @@
     {
         auto answers = from.step(now);
         for (const auto &[vm, grants] : answers) {
-            books[vm == First ? 0 : 1].take(fromProto(toProto(grants)), now);
+            books[vm == First ? 0 : 1].handleGrants(fromProto(toProto(grants)), now);
         }
         return answers;
     }
@@ -169,7 +169,7 @@
     bench.report(0, next, at(300ms));
     CHECK(granted(bench.deliver(next, at(301ms))) == 1);
     CHECK(bench.acquire(0, pending("draft", 0), at(302ms)));
-    bench.books[0].take(old.front().second, at(303ms));
+    bench.books[0].handleGrants(old.front().second, at(303ms));
     CHECK_FALSE(bench.acquire(0, pending("draft", 0), at(304ms)));
 }
 
