--- a/src/cell/loadpoller.cpp
+++ b/src/cell/loadpoller.cpp
@@ -72,10 +72,10 @@
     return events;
 }
 
-class LoadWatch::Asker
+class LoadPoller::Asker
 {
 public:
-    Asker(LoadWatch &watch, Upstream upstream)
+    Asker(LoadPoller &watch, Upstream upstream)
         : m_watch(watch)
         , m_upstream(std::move(upstream))
         , m_next(watch.m_loop, [this] { askLoad(); })
@@ -143,7 +143,7 @@
         m_call->start();
     }
 
-    LoadWatch &m_watch;
+    LoadPoller &m_watch;
     const Upstream m_upstream;
     Timer m_next;
     std::unique_ptr<UpstreamCall> m_call;
@@ -152,13 +152,13 @@
     TimePoint m_asked;
 };
 
-LoadWatch::LoadWatch(EventLoop &loop, Duration interval)
+LoadPoller::LoadPoller(EventLoop &loop, Duration interval)
     : m_loop(loop)
     , m_interval(interval)
 {
 }
 
-void LoadWatch::setUpstreams(const std::vector<Upstream> &upstreams)
+void LoadPoller::setUpstreams(const std::vector<Upstream> &upstreams)
 {
     std::map<UpstreamName, std::shared_ptr<Asker>> askers;
     for (const Upstream &upstream : upstreams) {
--- a/src/cell/loadpoller.h
+++ b/src/cell/loadpoller.h
@@ -49,10 +49,10 @@
 /// Asks the engines of the cells that this VM schedules for their load and cache events, each at its own moment of the interval.
 ///
 /// A cell has at most about 50 upstreams and an ask costs one short call, so the cost stays with the cell whatever the fleet's size.
-class LoadWatch
+class LoadPoller
 {
 public:
-    LoadWatch(EventLoop &loop, Duration interval);
+    LoadPoller(EventLoop &loop, Duration interval);
 
     /// The upstreams to ask from now on.
     void setUpstreams(const std::vector<Upstream> &upstreams);
--- a/src/celltask/celltask.h
+++ b/src/celltask/celltask.h
@@ -64,7 +64,7 @@
     /// A step some time after a message came, so that messages of many VMs are answered together.
     Timer m_soon;
     Timer m_regular;
-    LoadWatch m_watch;
+    LoadPoller m_watch;
     Configuration m_configuration;
     std::map<CellName, Epoch> m_epochs;
     std::map<CellName, CellScheduler> m_schedulers;
--- a/tests/cell/loadpollertest.cpp
+++ b/tests/cell/loadpollertest.cpp
@@ -31,7 +31,7 @@
     FakeUpstreamProcess first(folder, "first", network.host(11));
     const FakeUpstreamProcess second(folder, "second", network.host(12));
     EventLoop loop;
-    LoadWatch watch(loop, std::chrono::milliseconds(20));
+    LoadPoller watch(loop, std::chrono::milliseconds(20));
     bool killed = false;
     bool firstLost = false;
     int secondReports = 0;
@@ -68,7 +68,7 @@
     auto engine = FrontDoor::listen(loop, Address{network.host(11), 0}, std::chrono::seconds(30));
     REQUIRE(ok(engine));
     valueOf(engine)->arrived().connect([](const std::shared_ptr<Exchange> &exchange) { exchange->reply(404, "text/plain", "no such path\n"); });
-    LoadWatch watch(loop, std::chrono::milliseconds(20));
+    LoadPoller watch(loop, std::chrono::milliseconds(20));
     bool reachable = false;
     watch.loadCame().connect([](const UpstreamName & /*name*/, const LoadReport & /*report*/) { FAIL("there is no report"); });
     watch.reachable().connect([&](const UpstreamName &name) {
