--- a/src/cell/loadpoller.cpp
+++ b/src/cell/loadpoller.cpp
@@ -82,8 +82,8 @@
         , m_pollTimer(owner.m_loop, [this] { pollLoad(); })
     {
         // The polls are spread over the interval by the upstreams' names, so that a scheduler does not poll all upstreams in one burst.
-        const auto jitter = static_cast<Duration::rep>(checksum(m_upstream.name.value) % static_cast<std::uint64_t>(owner.m_interval.count()));
-        m_pollTimer.startOnce(Duration(jitter));
+        const auto offset = static_cast<Duration::rep>(checksum(m_upstream.name.value) % static_cast<std::uint64_t>(owner.m_interval.count()));
+        m_pollTimer.startOnce(Duration(offset));
     }
 
     const Address &address() const
--- a/src/celltask/celltask.cpp
+++ b/src/celltask/celltask.cpp
@@ -13,11 +13,11 @@
 {
 
 constexpr Duration StepInterval = std::chrono::milliseconds(100);
-/// Messages that come within this time after a step are answered together by the next one.
-constexpr Duration StepDelay = std::chrono::milliseconds(1);
-constexpr Duration WatchInterval = std::chrono::milliseconds(200);
+/// Messages received within this time after the last replies are answered together by the next step.
+constexpr Duration CoalescingInterval = std::chrono::milliseconds(1);
+constexpr Duration LoadPollInterval = std::chrono::milliseconds(200);
 
-CellName cellOf(const Upstream &upstream)
+CellName cellNameOf(const Upstream &upstream)
 {
     return CellName{upstream.service.value + "/" + upstream.dataCentre.value};
 }
@@ -27,15 +27,17 @@
 CellTask::CellTask(CellTaskOptions options, Metrics &metrics)
     : m_options(std::move(options))
     , m_mailbox(m_loop,
-                [this](CellTaskMessage &&message) { std::visit([this](auto &&kind) { handle(std::forward<decltype(kind)>(kind)); }, std::move(message)); })
-    , m_soon(m_loop, [this] { step(); })
-    , m_regular(m_loop, [this] { step(); })
-    , m_watch(m_loop, WatchInterval)
+                [this](CellTaskMessage &&message) {
+                    std::visit([this](auto &&typedMessage) { handle(std::forward<decltype(typedMessage)>(typedMessage)); }, std::move(message));
+                })
+    , m_coalescingTimer(m_loop, [this] { step(); })
+    , m_stepTimer(m_loop, [this] { step(); })
+    , m_loadPoller(m_loop, LoadPollInterval)
     , m_configuration{.declarations = std::make_shared<const Declarations>(), .moves = {}, .cells = {}, .admitUntil = {}, .leaseUntil = {}}
     , m_cellCount(metrics.gauge("cumindyke_cells_scheduled", "Cells that this VM schedules"))
     , m_grantMessages(metrics.counter("cumindyke_grant_messages_total", "Answers to the demands of entry VMs"))
 {
-    m_watch.loadReceived().connect([this](const UpstreamName &name, const LoadReport &report) {
+    m_loadPoller.loadReceived().connect([this](const UpstreamName &name, const LoadReport &report) {
         if (CellScheduler *scheduler = schedulerOf(name)) {
             const TimePoint now = EventLoop::now();
             scheduler->setUsable(name, !report.draining);
@@ -43,7 +45,7 @@
                 name, UpstreamLoad{.running = report.running, .waiting = report.waiting, .generatedTokens = report.generatedTokens, .at = now}, now);
         }
     });
-    m_watch.prefixEventsReceived().connect([this](const UpstreamName &name, const std::vector<PrefixEvent> &events) {
+    m_loadPoller.prefixEventsReceived().connect([this](const UpstreamName &name, const std::vector<PrefixEvent> &events) {
         CellScheduler *scheduler = schedulerOf(name);
         if (!scheduler) {
             return;
@@ -52,17 +54,17 @@
             scheduler->handleCacheEvent(name, event.prefix, event.stored);
         }
     });
-    m_watch.reachable().connect([this](const UpstreamName &name) {
+    m_loadPoller.reachable().connect([this](const UpstreamName &name) {
         if (CellScheduler *scheduler = schedulerOf(name)) {
             scheduler->setUsable(name, true);
         }
     });
-    m_watch.unreachable().connect([this](const UpstreamName &name) {
+    m_loadPoller.unreachable().connect([this](const UpstreamName &name) {
         if (CellScheduler *scheduler = schedulerOf(name)) {
             scheduler->setUsable(name, false);
         }
     });
-    m_regular.startEvery(StepInterval);
+    m_stepTimer.startEvery(StepInterval);
 }
 
 CellTask::~CellTask()
@@ -91,9 +93,9 @@
 void CellTask::handle(Configuration &&configuration)
 {
     const TimePoint now = EventLoop::now();
-    // A move's share says which upstreams of its new version get work.
-    const auto isSame = [](const v1::Move &one, const v1::Move &other) { return one.SerializeAsString() == other.SerializeAsString(); };
-    const bool movesChanged = !std::ranges::equal(configuration.moves, m_configuration.moves, isSame);
+    // The upstreams of a move's new version that get requests depend on the move's share, so a changed move counts as changed declarations.
+    const auto isSameMove = [](const v1::Move &left, const v1::Move &right) { return left.SerializeAsString() == right.SerializeAsString(); };
+    const bool movesChanged = !std::ranges::equal(configuration.moves, m_configuration.moves, isSameMove);
     const bool declarationsChanged = configuration.declarations != m_configuration.declarations || movesChanged;
     m_configuration = std::move(configuration);
     updateCells(now);
@@ -103,31 +105,31 @@
     for (auto &[cell, scheduler] : m_schedulers) {
         updateUpstreams(scheduler, cell, now);
     }
-    updateWatch();
+    updatePolledUpstreams();
 }
 
-/// Starts the schedulers of cells that came to this VM, and drops those of cells that left it.
+/// Starts the schedulers of the cells that are newly assigned to this VM, and stops those of the cells that no longer are.
 void CellTask::updateCells(TimePoint now)
 {
-    const std::size_t before = m_schedulers.size();
+    const std::size_t previousCount = m_schedulers.size();
     bool changed = false;
     for (const auto &[name, assignment] : m_configuration.cells) {
         const CellName cell{name};
-        const bool mine = assignment.vm() == m_options.vm.value && now < m_configuration.leaseUntil;
-        const bool running = m_schedulers.contains(cell);
-        if (running && (!mine || m_epochs[cell].value != assignment.epoch())) {
+        const bool isAssigned = assignment.vm() == m_options.vm.value && now < m_configuration.leaseUntil;
+        const bool isRunning = m_schedulers.contains(cell);
+        if (isRunning && (!isAssigned || m_epochs[cell].value != assignment.epoch())) {
             m_schedulers.erase(cell);
             changed = true;
             logChange("cell", "scheduler-stopped", {{"cell", name}});
         }
-        if (mine && !m_schedulers.contains(cell)) {
+        if (isAssigned && !m_schedulers.contains(cell)) {
             startScheduler(assignment, now);
             changed = true;
         }
     }
     changed |= std::erase_if(m_schedulers, [this](const auto &entry) { return !m_configuration.cells.contains(entry.first.value); }) > 0;
-    if (changed || before != m_schedulers.size()) {
-        updateWatch();
+    if (changed || previousCount != m_schedulers.size()) {
+        updatePolledUpstreams();
     }
 }
 
@@ -143,10 +145,10 @@
 
 void CellTask::updateUpstreams(CellScheduler &scheduler, const CellName &cell, TimePoint now) const
 {
-    const std::set<UpstreamName> resting = restingUpstreams(*m_configuration.declarations, movesFromWire(m_configuration.moves));
+    const std::set<UpstreamName> excluded = restingUpstreams(*m_configuration.declarations, movesFromWire(m_configuration.moves));
     std::vector<CellUpstream> upstreams;
     for (const auto &[name, upstream] : m_configuration.declarations->upstreams()) {
-        if (cellOf(upstream) == cell && !resting.contains(name)) {
+        if (cellNameOf(upstream) == cell && !excluded.contains(name)) {
             upstreams.push_back(CellUpstream{.name = name, .version = upstream.version, .slots = upstream.slots});
         }
     }
@@ -158,17 +160,18 @@
     scheduler.setWeights(weights);
 }
 
-/// Only engines report their load; plain services are judged by what entry VMs report.
-void CellTask::updateWatch()
+/// Sets the upstreams whose load is polled: those of model services. Plain services have no load reports; the entry VMs' reports show whether
+/// their upstreams are reachable.
+void CellTask::updatePolledUpstreams()
 {
-    std::vector<Upstream> watched;
+    std::vector<Upstream> polled;
     for (const auto &[name, upstream] : m_configuration.declarations->upstreams()) {
         const Service *service = m_configuration.declarations->service(upstream.service);
-        if (service && service->kind == ServiceKind::Model && m_schedulers.contains(cellOf(upstream))) {
-            watched.push_back(upstream);
+        if (service && service->kind == ServiceKind::Model && m_schedulers.contains(cellNameOf(upstream))) {
+            polled.push_back(upstream);
         }
     }
-    m_watch.setUpstreams(watched);
+    m_loadPoller.setUpstreams(polled);
     m_cellCount.set(static_cast<double>(m_schedulers.size()));
 }
 
@@ -178,57 +181,57 @@
     if (message.envelope.has_demand()) {
         if (CellScheduler *scheduler = schedulerOf(message.envelope.demand().cell())) {
             scheduler->handleDemand(message.from, fromProto(message.envelope.demand()), now);
-            messageCame(now);
+            scheduleStep(now);
         }
     } else if (message.envelope.has_grant_report()) {
         if (CellScheduler *scheduler = schedulerOf(message.envelope.grant_report().cell())) {
             scheduler->handleReport(message.from, fromProto(message.envelope.grant_report()), now);
-            messageCame(now);
+            scheduleStep(now);
         }
     }
 }
 
-/// A message after a pause is answered at once: its request waits for it. Soon after other answers it waits for more to come, so that
-/// a burst is answered together.
-void CellTask::messageCame(TimePoint now)
+/// Schedules a step after a received message: at once after a pause, since a request waits for the reply, but no earlier than the coalescing
+/// interval after the last replies, so that a burst of messages is answered together.
+void CellTask::scheduleStep(TimePoint now)
 {
-    if (m_stepDue) {
+    if (m_stepScheduled) {
         return;
     }
-    m_stepDue = true;
-    m_soon.startOnce(std::max(m_lastStep + StepDelay - now, Duration::zero()));
+    m_stepScheduled = true;
+    m_coalescingTimer.startOnce(std::max(m_lastReplyAt + CoalescingInterval - now, Duration::zero()));
 }
 
 void CellTask::step()
 {
     const TimePoint now = EventLoop::now();
-    m_stepDue = false;
-    dropWithoutLease(now);
+    m_stepScheduled = false;
+    stopWithoutLease(now);
     for (auto &[cell, scheduler] : m_schedulers) {
         for (const auto &[vm, grants] : scheduler.step(now)) {
             v1::Envelope envelope;
             *envelope.mutable_grants() = toProto(grants);
             m_options.send(vm, std::move(envelope));
             m_grantMessages.add();
-            m_lastStep = now;
+            m_lastReplyAt = now;
         }
     }
 }
 
-void CellTask::dropWithoutLease(TimePoint now)
+void CellTask::stopWithoutLease(TimePoint now)
 {
     if (now < m_configuration.leaseUntil || m_schedulers.empty()) {
         return;
     }
     logWarning("cell", "schedulers-stopped-without-lease", {{"cells", std::to_string(m_schedulers.size())}});
     m_schedulers.clear();
-    updateWatch();
+    updatePolledUpstreams();
 }
 
 CellScheduler *CellTask::schedulerOf(const UpstreamName &upstream)
 {
     const Upstream *declared = m_configuration.declarations->upstream(upstream);
-    return declared ? schedulerOf(cellOf(*declared).value) : nullptr;
+    return declared ? schedulerOf(cellNameOf(*declared).value) : nullptr;
 }
 
 CellScheduler *CellTask::schedulerOf(const std::string &cell)
--- a/src/celltask/celltask.h
+++ b/src/celltask/celltask.h
@@ -18,18 +18,18 @@
 struct CellTaskOptions
 {
     VmName vm;
-    /// All VMs, this one too: each may hold capacity of a cell.
+    /// All VMs, including this one: each may hold slots of a cell.
     std::set<VmName> vms;
     PeerSender send;
 };
 
 using CellTaskMessage = std::variant<Configuration, PeerMessage>;
 
-/// Runs the schedulers of the cells that are assigned to this VM, while its lease lasts.
+/// Runs the schedulers of the cells that are assigned to this VM, while its lease is valid.
 ///
-/// Failure guarded against: a VM that was cut off or stopped goes on granting a cell that another VM schedules by now, seen as engines
-/// with twice the work they can hold. Each step compares the time with the lease, which this VM counts from before it asked for it, so
-/// it has stopped before the leader may assign the cell anew; entry VMs besides ignore grants of an older epoch.
+/// Failure guarded against: a VM that was cut off or suspended continues to grant slots of a cell that another VM schedules by then, so that
+/// engines get twice the requests that they can run. Each step compares the time with the lease, which this VM counts from before it requested
+/// the lease, so it stops before the leader may reassign the cell. In addition, entry VMs ignore grants of an older epoch.
 class CellTask
 {
 public:
@@ -40,9 +40,9 @@
 
     /// Starts the task's thread. Call once.
     void start();
-    /// Ends the task's thread; what is posted from then on is not handled. Safe to call again.
+    /// Stops the task's thread; messages posted afterwards are not handled. Safe to call more than once.
     void stop();
-    /// Safe from any thread.
+    /// Posts a message to the task. Safe from any thread.
     void post(CellTaskMessage message);
 
 private:
@@ -51,26 +51,27 @@
     void updateCells(TimePoint now);
     void startScheduler(const v1::CellAssignment &assignment, TimePoint now);
     void updateUpstreams(CellScheduler &scheduler, const CellName &cell, TimePoint now) const;
-    void updateWatch();
-    void dropWithoutLease(TimePoint now);
+    void updatePolledUpstreams();
+    void stopWithoutLease(TimePoint now);
     CellScheduler *schedulerOf(const UpstreamName &upstream);
     CellScheduler *schedulerOf(const std::string &cell);
-    void messageCame(TimePoint now);
+    void scheduleStep(TimePoint now);
     void step();
 
     const CellTaskOptions m_options;
     EventLoop m_loop;
     Mailbox<CellTaskMessage> m_mailbox;
-    /// A step some time after a message came, so that messages of many VMs are answered together.
-    Timer m_soon;
-    Timer m_regular;
-    LoadPoller m_watch;
+    /// Starts a step after messages have been received, delayed so that the messages of many VMs are answered together.
+    Timer m_coalescingTimer;
+    /// Starts a step at a fixed interval.
+    Timer m_stepTimer;
+    LoadPoller m_loadPoller;
     Configuration m_configuration;
     std::map<CellName, Epoch> m_epochs;
     std::map<CellName, CellScheduler> m_schedulers;
-    /// The last step that answered anybody.
-    TimePoint m_lastStep;
-    bool m_stepDue = false;
+    /// When the last step sent replies.
+    TimePoint m_lastReplyAt;
+    bool m_stepScheduled = false;
     Gauge m_cellCount;
     Counter m_grantMessages;
     std::thread m_thread;
