--- a/src/bench/moveoutcomes.cpp
+++ b/src/bench/moveoutcomes.cpp
@@ -154,7 +154,7 @@
         }
         m_result.done = m_move.state == MoveState::Done;
         m_result.inTime = m_result.done && m_move.stateSince <= m_move.deadline;
-        m_result.takenBack = m_move.state == MoveState::TakenBack;
+        m_result.takenBack = m_move.state == MoveState::RolledBack;
         m_result.reason = m_move.reason;
         m_result.endedAfter = std::chrono::milliseconds(m_move.stateSince.value);
         m_result.badShare = static_cast<double>(m_newAfterFault) / static_cast<double>(std::max<std::uint64_t>(1, m_requests));
--- a/src/control/movecommands.cpp
+++ b/src/control/movecommands.cpp
@@ -15,7 +15,7 @@
         return v1::MOVE_STATE_SOAKING;
     case MoveState::Done:
         return v1::MOVE_STATE_DONE;
-    case MoveState::TakenBack:
+    case MoveState::RolledBack:
         return v1::MOVE_STATE_TAKEN_BACK;
     case MoveState::Aborted:
         return v1::MOVE_STATE_ABORTED;
@@ -34,7 +34,7 @@
     case v1::MOVE_STATE_DONE:
         return MoveState::Done;
     case v1::MOVE_STATE_TAKEN_BACK:
-        return MoveState::TakenBack;
+        return MoveState::RolledBack;
     default:
         return MoveState::Aborted;
     }
--- a/src/domain/move.cpp
+++ b/src/domain/move.cpp
@@ -14,7 +14,7 @@
         return "soaking";
     case MoveState::Done:
         return "done";
-    case MoveState::TakenBack:
+    case MoveState::RolledBack:
         return "taken back";
     case MoveState::Aborted:
         return "aborted";
@@ -34,7 +34,7 @@
         return state == MoveState::Ramping || state == MoveState::Soaking;
     case MoveState::Done:
         return state == MoveState::Soaking;
-    case MoveState::TakenBack:
+    case MoveState::RolledBack:
     case MoveState::Aborted:
         return state == MoveState::Ramping || state == MoveState::Soaking;
     }
@@ -85,7 +85,7 @@
         stateSince = now;
     }
     state = next;
-    const bool goesBack = next == MoveState::TakenBack || next == MoveState::Aborted;
+    const bool goesBack = next == MoveState::RolledBack || next == MoveState::Aborted;
     share = goesBack ? Permille{0} : next == MoveState::Done ? WholeShare : newShare;
     reason = std::move(newReason);
     return cumindyke::Done{};
--- a/src/domain/move.h
+++ b/src/domain/move.h
@@ -15,7 +15,7 @@
     Ramping, ///< the new version gets a share that grows with the evidence
     Soaking, ///< nearly all traffic is on the new version; the old one stays loaded and keeps a small share to compare with
     Done, ///< all traffic is on the new version, which is the declared one now
-    TakenBack, ///< the old version has all traffic again, by the leader's verdict
+    RolledBack, ///< the old version has all traffic again, by the leader's verdict
     Aborted, ///< the old version has all traffic again, by an operator's command
 };
 
@@ -28,7 +28,7 @@
 
 /// A move of one service's traffic from its declared version to another, by a deadline. Times are wall-clock, as operators give them.
 ///
-/// States: Ramping -> Soaking -> Done; TakenBack and Aborted from either open state. A closed move never changes again, so a verdict
+/// States: Ramping -> Soaking -> Done; RolledBack and Aborted from either open state. A closed move never changes again, so a verdict
 /// that was decided before an abort and applied after it has no effect.
 struct Move
 {
--- a/src/policy/moveramp.cpp
+++ b/src/policy/moveramp.cpp
@@ -60,11 +60,11 @@
     m_verdict.update(comparisons);
     recordCoverage(comparisons);
     if (const std::optional<Finding> &finding = m_verdict.finding()) {
-        return MoveDecision{.state = MoveState::TakenBack, .share = {}, .reason = std::string(toString(finding->kind)) + " (" + finding->where + ")"};
+        return MoveDecision{.state = MoveState::RolledBack, .share = {}, .reason = std::string(toString(finding->kind)) + " (" + finding->where + ")"};
     }
     // Step 3. Reject a deadline that can't be met before the first share.
     if (move.share == Permille{0} && move.deadline.value - now.value < MinMoveMs) {
-        return MoveDecision{.state = MoveState::TakenBack, .share = {}, .reason = "the deadline is too tight: a move needs at least 40 s"};
+        return MoveDecision{.state = MoveState::RolledBack, .share = {}, .reason = "the deadline is too tight: a move needs at least 40 s"};
     }
     // Step 4. Start the next step when the present one has lasted long enough and has enough evidence; roll back at the deadline.
     if (move.share > Permille{0} && now.value - m_stepStartedAt.value >= stepDuration(move) && hasEnoughEvidence()
@@ -76,7 +76,7 @@
     }
     if (now >= move.deadline) {
         const std::string explanation = hasEnoughEvidence() ? "the new version looks worse, but not clearly" : missingEvidence();
-        return MoveDecision{.state = MoveState::TakenBack, .share = {}, .reason = "no evidence by the deadline: " + explanation};
+        return MoveDecision{.state = MoveState::RolledBack, .share = {}, .reason = "no evidence by the deadline: " + explanation};
     }
     return {};
 }
--- a/tests/policy/movepolicytest.cpp
+++ b/tests/policy/movepolicytest.cpp
@@ -180,7 +180,7 @@
         }
         CHECK(state.share <= Permille{100});
     }
-    CHECK(state.state == MoveState::TakenBack);
+    CHECK(state.state == MoveState::RolledBack);
     CHECK(state.reason == "no evidence by the deadline: 0 answers of the new version, 50 needed");
 }
 
@@ -191,6 +191,6 @@
     MoveRamp ramp(tight, 12, WallTime{0});
     const auto decision = ramp.advance(tight, {}, WallTime{0});
     REQUIRE(decision);
-    CHECK(decision->state == MoveState::TakenBack);
+    CHECK(decision->state == MoveState::RolledBack);
     CHECK(decision->reason.find("too tight") != std::string::npos);
 }
--- a/tests/report/burntest.cpp
+++ b/tests/report/burntest.cpp
@@ -117,7 +117,7 @@
                     .to = VersionName{"v2"},
                     .started = WallTime{Start},
                     .deadline = WallTime{Start + HourMs},
-                    .state = MoveState::TakenBack,
+                    .state = MoveState::RolledBack,
                     .share = {},
                     .reason = "answers fail",
                     .stateSince = WallTime{Start + 60'000}};
