--- a/src/celltask/celltask.cpp
+++ b/src/celltask/celltask.cpp
@@ -145,7 +145,7 @@
 
 void CellTask::updateUpstreams(CellScheduler &scheduler, const CellName &cell, TimePoint now) const
 {
-    const std::set<UpstreamName> excluded = restingUpstreams(*m_configuration.declarations, movesFromWire(m_configuration.moves));
+    const std::set<UpstreamName> excluded = excludedUpstreams(*m_configuration.declarations, movesFromWire(m_configuration.moves));
     std::vector<CellUpstream> upstreams;
     for (const auto &[name, upstream] : m_configuration.declarations->upstreams()) {
         if (cellNameOf(upstream) == cell && !excluded.contains(name)) {
--- a/src/domain/move.cpp
+++ b/src/domain/move.cpp
@@ -138,7 +138,7 @@
     return all;
 }
 
-std::set<UpstreamName> restingUpstreams(const Declarations &declarations, const std::vector<Move> &moves)
+std::set<UpstreamName> excludedUpstreams(const Declarations &declarations, const std::vector<Move> &moves)
 {
     std::set<UpstreamName> resting;
     for (const Move &move : moves) {
--- a/src/domain/move.h
+++ b/src/domain/move.h
@@ -72,7 +72,7 @@
 std::vector<UpstreamName> upstreamsInMove(const Declarations &declarations, const Move &move, const VersionName &version);
 
 /// The upstreams of open moves' new versions that get no new work at the present share: entry VMs and schedulers leave them out.
-std::set<UpstreamName> restingUpstreams(const Declarations &declarations, const std::vector<Move> &moves);
+std::set<UpstreamName> excludedUpstreams(const Declarations &declarations, const std::vector<Move> &moves);
 
 /// How many upstreams a version of a service has.
 std::size_t upstreamCount(const Declarations &declarations, const ServiceName &service, const VersionName &version);
--- a/src/entry/versiontraffic.cpp
+++ b/src/entry/versiontraffic.cpp
@@ -31,7 +31,7 @@
         parsed.push_back(fromWire(wire));
         note(parsed.back());
     }
-    m_resting = cumindyke::restingUpstreams(declarations, parsed);
+    m_resting = cumindyke::excludedUpstreams(declarations, parsed);
     m_router.setMoves(parsed);
 }
 
