--- a/src/domain/declarations.cpp
+++ b/src/domain/declarations.cpp
@@ -12,13 +12,14 @@
 constexpr std::size_t MaxNameLength = 100;
 constexpr std::uint32_t MaxSlots = 100'000;
 
-Error invalid(std::string message)
+Error invalidError(std::string message)
 {
     return Error{ErrorKind::Invalid, std::move(message)};
 }
 
-/// Names stand in logs, metric labels, URLs and file names, so they keep to letters that need no quoting in any.
-bool isName(const std::string &name)
+/// Returns whether a name is valid. Names appear in logs, metric labels, URLs and file names, so only characters that need no quoting in any of
+/// these are allowed.
+bool isValidName(const std::string &name)
 {
     if (name.empty() || name.size() > MaxNameLength) {
         return false;
@@ -26,35 +27,40 @@
     return std::ranges::all_of(name, [](unsigned char c) { return std::isalnum(c) || c == '-' || c == '_' || c == '.'; });
 }
 
-Error badName(const char *kind, const std::string &name)
+Error invalidNameError(const char *kind, const std::string &name)
 {
-    return invalid(std::string(kind) + " name '" + name + "' is not valid: use 1 to 100 letters, digits, '-', '_' and '.'");
+    return invalidError(std::string(kind) + " name '" + name + "' is not valid: use 1 to 100 letters, digits, '-', '_' and '.'");
 }
 
 template<typename Key, typename Value>
-const Value *find(const std::map<Key, Value> &map, const Key &key)
+const Value *findByName(const std::map<Key, Value> &map, const Key &key)
 {
     const auto found = map.find(key);
     return found == map.end() ? nullptr : &found->second;
 }
 
+/// Appends the objects of one kind that are new or changed in the target to puts, and those that the target lacks to removals.
 template<typename Key, typename Value>
-void collectChanges(Kind kind, const std::map<Key, Value> &from, const std::map<Key, Value> &to, std::vector<Change> &puts, std::vector<Change> &removals)
+void collectChanges(Kind kind,
+                    const std::map<Key, Value> &current,
+                    const std::map<Key, Value> &target,
+                    std::vector<Change> &puts,
+                    std::vector<Change> &removals)
 {
-    for (const auto &[name, value] : to) {
-        const Value *old = find(from, name);
-        if (!old || !(*old == value)) {
+    for (const auto &[name, value] : target) {
+        const Value *existing = findByName(current, name);
+        if (!existing || !(*existing == value)) {
             puts.emplace_back(value);
         }
     }
-    for (const auto &[name, value] : from) {
-        if (!to.contains(name)) {
+    for (const auto &[name, value] : current) {
+        if (!target.contains(name)) {
             removals.emplace_back(Removal{.kind = kind, .name = name.value});
         }
     }
 }
 
-struct Describer
+struct ChangeDescriber
 {
     std::string operator()(const Tier &tier) const
     {
@@ -97,38 +103,38 @@
 
 std::string describe(const Change &change)
 {
-    return std::visit(Describer{}, change);
+    return std::visit(ChangeDescriber{}, change);
 }
 
 bool Service::mustNotRepeat(std::string_view method, std::string_view path) const
 {
-    const std::string call = std::string(method) + " " + std::string(path);
-    return std::ranges::any_of(nonIdempotent, [&call](const std::string &prefix) { return call.starts_with(prefix); });
+    const std::string methodAndPath = std::string(method) + " " + std::string(path);
+    return std::ranges::any_of(nonIdempotent, [&methodAndPath](const std::string &prefix) { return methodAndPath.starts_with(prefix); });
 }
 
 const Tier *Declarations::tier(const TierName &name) const
 {
-    return find(m_tiers, name);
+    return findByName(m_tiers, name);
 }
 
 const Organisation *Declarations::organisation(const OrganisationName &name) const
 {
-    return find(m_organisations, name);
+    return findByName(m_organisations, name);
 }
 
 const Service *Declarations::service(const ServiceName &name) const
 {
-    return find(m_services, name);
+    return findByName(m_services, name);
 }
 
 const Upstream *Declarations::upstream(const UpstreamName &name) const
 {
-    return find(m_upstreams, name);
+    return findByName(m_upstreams, name);
 }
 
 const Organisation *Declarations::organisationByKey(const KeyHash &hash) const
 {
-    const OrganisationName *name = find(m_organisationsByKey, hash);
+    const OrganisationName *name = findByName(m_organisationsByKey, hash);
     return name ? organisation(*name) : nullptr;
 }
 
@@ -224,13 +230,13 @@
 {
     std::map<TierRank, TierName> ranks;
     for (const auto &[name, tier] : m_tiers) {
-        if (!isName(name.value)) {
-            return badName("tier", name.value);
+        if (!isValidName(name.value)) {
+            return invalidNameError("tier", name.value);
         }
         const auto [other, isNew] = ranks.emplace(tier.rank, name);
         if (!isNew) {
-            return invalid("tiers '" + other->second.value + "' and '" + name.value + "' have the same rank " + std::to_string(tier.rank.value)
-                           + ": give each tier its own rank, 0 for the highest");
+            return invalidError("tiers '" + other->second.value + "' and '" + name.value + "' have the same rank " + std::to_string(tier.rank.value)
+                                + ": give each tier its own rank, 0 for the highest");
         }
     }
     return {};
@@ -240,20 +246,20 @@
 {
     std::map<KeyHash, OrganisationName> owners;
     for (const auto &[name, organisation] : m_organisations) {
-        if (!isName(name.value)) {
-            return badName("organisation", name.value);
+        if (!isValidName(name.value)) {
+            return invalidNameError("organisation", name.value);
         }
         if (!m_tiers.contains(organisation.highestTier)) {
-            return invalid("organisation '" + name.value + "' has the highest_tier '" + organisation.highestTier.value
-                           + "', which is not declared: declare the tier or name another");
+            return invalidError("organisation '" + name.value + "' has the highest_tier '" + organisation.highestTier.value
+                                + "', which is not declared: declare the tier or name another");
         }
         if (organisation.weight == 0) {
-            return invalid("organisation '" + name.value + "' has weight 0 and would never be served: set a weight of 1 or more");
+            return invalidError("organisation '" + name.value + "' has weight 0 and would never be served: set a weight of 1 or more");
         }
         for (const KeyHash &hash : organisation.keyHashes) {
             const auto [owner, isNew] = owners.emplace(hash, name);
             if (!isNew) {
-                return invalid("organisations '" + owner->second.value + "' and '" + name.value + "' have the same API key: give each its own");
+                return invalidError("organisations '" + owner->second.value + "' and '" + name.value + "' have the same API key: give each its own");
             }
         }
     }
@@ -263,19 +269,19 @@
 std::optional<Error> Declarations::brokenServiceRule() const
 {
     for (const auto &[name, service] : m_services) {
-        if (!isName(name.value)) {
-            return badName("service", name.value);
+        if (!isValidName(name.value)) {
+            return invalidNameError("service", name.value);
         }
-        if (!isName(service.version.value)) {
-            return badName("version", service.version.value);
+        if (!isValidName(service.version.value)) {
+            return invalidNameError("version", service.version.value);
         }
         for (const Objective &objective : service.objectives) {
             if (!m_tiers.contains(objective.tier)) {
-                return invalid("service '" + name.value + "' has an objective for tier '" + objective.tier.value
-                               + "', which is not declared: declare the tier or remove the objective");
+                return invalidError("service '" + name.value + "' has an objective for tier '" + objective.tier.value
+                                    + "', which is not declared: declare the tier or remove the objective");
             }
             if (!(objective.onTimeShare > 0) || !(objective.onTimeShare < 1)) {
-                return invalid("service '" + name.value + "' has an on_time_share that is not between 0 and 1: write for example 0.99");
+                return invalidError("service '" + name.value + "' has an on_time_share that is not between 0 and 1: write for example 0.99");
             }
         }
     }
@@ -286,23 +292,23 @@
 {
     std::map<Address, UpstreamName> addresses;
     for (const auto &[name, upstream] : m_upstreams) {
-        if (!isName(name.value)) {
-            return badName("upstream", name.value);
+        if (!isValidName(name.value)) {
+            return invalidNameError("upstream", name.value);
         }
-        if (!isName(upstream.version.value)) {
-            return badName("version", upstream.version.value);
+        if (!isValidName(upstream.version.value)) {
+            return invalidNameError("version", upstream.version.value);
         }
         if (!m_services.contains(upstream.service)) {
-            return invalid("upstream '" + name.value + "' belongs to service '" + upstream.service.value
-                           + "', which is not declared: declare the service first or remove the upstream");
+            return invalidError("upstream '" + name.value + "' belongs to service '" + upstream.service.value
+                                + "', which is not declared: declare the service first or remove the upstream");
         }
         if (upstream.slots == 0 || upstream.slots > MaxSlots) {
-            return invalid("upstream '" + name.value + "' has " + std::to_string(upstream.slots) + " slots: set 1 to " + std::to_string(MaxSlots));
+            return invalidError("upstream '" + name.value + "' has " + std::to_string(upstream.slots) + " slots: set 1 to " + std::to_string(MaxSlots));
         }
         const auto [other, isNew] = addresses.emplace(upstream.address, name);
         if (!isNew) {
-            return invalid("upstreams '" + other->second.value + "' and '" + name.value + "' have the same address " + toString(upstream.address)
-                           + ": give each its own");
+            return invalidError("upstreams '" + other->second.value + "' and '" + name.value + "' have the same address " + toString(upstream.address)
+                                + ": give each its own");
         }
     }
     return {};
--- a/src/domain/declarations.h
+++ b/src/domain/declarations.h
@@ -10,38 +10,46 @@
 #include <variant>
 #include <vector>
 
-/// What operators declare, and the rules that hold between the parts. No I/O here.
+/// The objects that operators declare, and the rules that hold between them. The code does no I/O, except for readDeclarations().
 namespace cumindyke
 {
 
+/// A priority class of requests.
 struct Tier
 {
     TierName name;
+    /// 0 is the highest priority.
     TierRank rank;
 
     bool operator==(const Tier &) const = default;
 };
 
+/// An organisation whose callers send requests with its API keys.
 struct Organisation
 {
     OrganisationName name;
     std::vector<KeyHash> keyHashes;
+    /// The highest tier that the organisation's requests may use.
     TierName highestTier;
-    /// Requests in flight over all VMs; 0 is no limit.
+    /// Maximum number of requests in flight over all VMs; 0 for no limit.
     std::uint32_t maxConcurrent = 0;
-    /// Tokens a second over all VMs; 0 is no limit.
+    /// Maximum number of tokens per second over all VMs; 0 for no limit.
     std::uint32_t tokensPerSecond = 0;
-    /// Share of a tier's capacity against other organisations.
+    /// Weight of the organisation's share of a tier's capacity, relative to other organisations.
     std::uint32_t weight = 1;
 
     bool operator==(const Organisation &) const = default;
 };
 
+/// A service-level objective for the requests of one tier.
 struct Objective
 {
     TierName tier;
+    /// Share of requests that must be answered by their deadline.
     double onTimeShare = 0.99;
+    /// Maximum time to the first token.
     std::chrono::milliseconds firstToken{760};
+    /// Maximum mean time between tokens.
     std::chrono::milliseconds betweenTokens{41};
 
     bool operator==(const Objective &) const = default;
@@ -53,15 +61,17 @@
 {
     ServiceName name;
     ServiceKind kind = ServiceKind::Model;
-    /// The version that gets the traffic when no move is under way.
+    /// The version that gets the requests when no move is in progress.
     VersionName version;
+    /// Time to the deadline of requests that set none.
     std::chrono::milliseconds defaultDeadline{60'000};
-    /// "METHOD /path" prefixes of plain calls that must not be repeated.
+    /// "METHOD /path" prefixes of the calls to a plain service that must not be repeated.
     std::vector<std::string> nonIdempotent;
     std::vector<Objective> objectives;
+    /// How long the answers of requests with an idempotency key are saved.
     std::chrono::seconds keepAnswers{86'400};
 
-    /// Whether a plain call must run at most once and so needs an idempotency key.
+    /// Returns whether a call must run at most once, and so needs an idempotency key.
     bool mustNotRepeat(std::string_view method, std::string_view path) const;
     bool operator==(const Service &) const = default;
 };
@@ -73,18 +83,20 @@
     VersionName version;
     DataCentreName dataCentre;
     Address address;
-    /// The most requests it is given at once.
+    /// Maximum number of concurrent requests.
     std::uint32_t slots = 1;
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether the upstream refuses orders with an outdated fencing number.
     bool checksFence = false;
 
     bool operator==(const Upstream &) const = default;
 };
 
+/// The kinds of declared objects.
 enum class Kind { Tier, Organisation, Service, Upstream };
 
 const char *toString(Kind kind);
 
+/// Removes the object of a kind and name.
 struct Removal
 {
     Kind kind = Kind::Tier;
@@ -93,13 +105,13 @@
     bool operator==(const Removal &) const = default;
 };
 
-/// One change: puts a thing in the place of the one with its name, or removes it.
+/// A change to the declarations: adds an object or replaces the one with its name, or removes an object.
 using Change = std::variant<Tier, Organisation, Service, Upstream, Removal>;
 
-/// "put service drafting", for people.
+/// Describes a change for operators, for example "put service drafting".
 std::string describe(const Change &change);
 
-/// All declarations at one revision. Reading is by const access; changes go through apply(), which keeps the rules.
+/// All declarations at one revision. Immutable except by assignment: apply() returns changed declarations, and checks the rules.
 class Declarations
 {
 public:
@@ -128,20 +140,24 @@
     const Organisation *organisation(const OrganisationName &name) const;
     const Service *service(const ServiceName &name) const;
     const Upstream *upstream(const UpstreamName &name) const;
-    /// The organisation that owns an API key with this hash, or null.
+    /// Returns the organisation that owns the API key with this hash, or null.
     const Organisation *organisationByKey(const KeyHash &hash) const;
 
-    /// These declarations with all changes made, one revision on; or the first rule that the result would break (Invalid).
+    /// Returns these declarations with all changes applied and the revision incremented. Error: Invalid, with the first rule that the result
+    /// violates.
     Result<Declarations> apply(const std::vector<Change> &changes) const;
 
-    /// The changes that turn these declarations into the target, fewest first by kind; empty when they are equal.
+    /// Returns the changes that turn these declarations into the target: first the objects to put, then the removals, each by kind. Empty when
+    /// the two are equal.
     std::vector<Change> changesTo(const Declarations &target) const;
 
-    /// For recovery from a snapshot or a push; the content was checked when it was accepted.
+    /// Restores declarations from a snapshot or a pushed configuration, without checking the rules: the content was checked when it was
+    /// accepted.
     static Declarations restored(Revision revision, const std::vector<Change> &puts);
 
 private:
     void put(const Change &change);
+    /// Returns the first violated rule, or nothing.
     std::optional<Error> brokenRule() const;
     std::optional<Error> brokenTierRule() const;
     std::optional<Error> brokenOrganisationRule() const;
@@ -156,10 +172,10 @@
     std::map<KeyHash, OrganisationName> m_organisationsByKey;
 };
 
-/// Parses one TOML document of declarations; docs/DECLARATIONS.md has the schema. Errors name file, line, key and remedy.
+/// Parses a TOML document of declarations; docs/DECLARATIONS.md describes the schema. Errors name the file, line, key and remedy.
 Result<std::vector<Change>> parseDeclarations(std::string_view toml, const std::string &fileName);
 
-/// Reads every *.toml file of a folder, in the order of names. Errors: Invalid, NotFound.
+/// Reads all *.toml files of a folder, in the order of their names. Errors: Invalid, NotFound.
 Result<std::vector<Change>> readDeclarations(const std::string &folder);
 
 }
--- a/src/domain/move.cpp
+++ b/src/domain/move.cpp
@@ -25,7 +25,7 @@
 namespace
 {
 
-bool mayFollow(MoveState state, MoveState next)
+bool isTransitionAllowed(MoveState state, MoveState next)
 {
     switch (next) {
     case MoveState::Ramping:
@@ -45,11 +45,11 @@
 
 Result<Move> Move::start(const Declarations &declarations, const ServiceName &service, const VersionName &to, WallTime deadline, WallTime now)
 {
-    const Service *declared = declarations.service(service);
-    if (!declared) {
+    const Service *declaredService = declarations.service(service);
+    if (!declaredService) {
         return Error{ErrorKind::NotFound, "no service '" + service.value + "': declare it first"};
     }
-    if (declared->version == to) {
+    if (declaredService->version == to) {
         return Error{ErrorKind::Invalid, "service '" + service.value + "' is on version '" + to.value + "' already: name another version"};
     }
     if (upstreamCount(declarations, service, to) == 0) {
@@ -62,7 +62,7 @@
     return Move{
         .name = MoveName{service.value + "-" + to.value + "-" + std::to_string(now.value)},
         .service = service,
-        .from = declared->version,
+        .from = declaredService->version,
         .to = to,
         .started = now,
         .deadline = deadline,
@@ -75,7 +75,7 @@
 
 Result<cumindyke::Done> Move::decide(MoveState next, Permille newShare, std::string newReason, WallTime now)
 {
-    if (!mayFollow(state, next)) {
+    if (!isTransitionAllowed(state, next)) {
         return Error{ErrorKind::Invalid, "move '" + name.value + "' is " + toString(state) + " and can't become " + toString(next) + ": start a new move"};
     }
     if (newShare > WholeShare) {
@@ -85,8 +85,8 @@
         stateSince = now;
     }
     state = next;
-    const bool goesBack = next == MoveState::RolledBack || next == MoveState::Aborted;
-    share = goesBack ? Permille{0} : next == MoveState::Done ? WholeShare : newShare;
+    const bool isRollback = next == MoveState::RolledBack || next == MoveState::Aborted;
+    share = isRollback ? Permille{0} : next == MoveState::Done ? WholeShare : newShare;
     reason = std::move(newReason);
     return cumindyke::Done{};
 }
@@ -119,40 +119,40 @@
 
 std::vector<UpstreamName> upstreamsInMove(const Declarations &declarations, const Move &move, const VersionName &version)
 {
-    std::vector<UpstreamName> all;
+    std::vector<UpstreamName> upstreamNames;
     for (const auto &[name, upstream] : declarations.upstreams()) {
         if (upstream.service == move.service && upstream.version == version) {
-            all.push_back(name);
+            upstreamNames.push_back(name);
         }
     }
     const bool isNew = version == move.to;
-    const bool isFew = isNew ? move.state == MoveState::Ramping : move.state == MoveState::Soaking;
+    const bool hasSmallShare = isNew ? move.state == MoveState::Ramping : move.state == MoveState::Soaking;
     const std::size_t share = isNew ? move.share.value : WholeShare.value - move.share.value;
-    if (!isFew || share >= WholeShare.value) {
-        return all;
-    }
-    // As many as make each at least as full as the other version's upstreams are with the rest of the requests; rounded down.
-    const std::size_t others = upstreamCount(declarations, move.service, isNew ? move.from : move.to);
-    const std::size_t wanted = others * share / (WholeShare.value - share);
-    all.resize(std::clamp<std::size_t>(wanted, 1, std::max<std::size_t>(1, all.size())));
-    return all;
+    if (!hasSmallShare || share >= WholeShare.value) {
+        return upstreamNames;
+    }
+    // The largest number of upstreams, at least one, with which each gets at least as many requests as each of the other version's upstreams.
+    const std::size_t otherCount = upstreamCount(declarations, move.service, isNew ? move.from : move.to);
+    const std::size_t targetCount = otherCount * share / (WholeShare.value - share);
+    upstreamNames.resize(std::clamp<std::size_t>(targetCount, 1, std::max<std::size_t>(1, upstreamNames.size())));
+    return upstreamNames;
 }
 
 std::set<UpstreamName> excludedUpstreams(const Declarations &declarations, const std::vector<Move> &moves)
 {
-    std::set<UpstreamName> resting;
+    std::set<UpstreamName> excluded;
     for (const Move &move : moves) {
         if (!move.isOpen()) {
             continue;
         }
-        const std::vector<UpstreamName> inMove = upstreamsInMove(declarations, move, move.to);
+        const std::vector<UpstreamName> participating = upstreamsInMove(declarations, move, move.to);
         for (const auto &[name, upstream] : declarations.upstreams()) {
-            if (upstream.service == move.service && upstream.version == move.to && std::ranges::find(inMove, name) == inMove.end()) {
-                resting.insert(name);
+            if (upstream.service == move.service && upstream.version == move.to && std::ranges::find(participating, name) == participating.end()) {
+                excluded.insert(name);
             }
         }
     }
-    return resting;
+    return excluded;
 }
 
 std::size_t upstreamCount(const Declarations &declarations, const ServiceName &service, const VersionName &version)
--- a/src/domain/move.h
+++ b/src/domain/move.h
@@ -12,24 +12,24 @@
 {
 
 enum class MoveState {
-    Ramping, ///< the new version gets a share that grows with the evidence
-    Soaking, ///< nearly all traffic is on the new version; the old one stays loaded and keeps a small share to compare with
-    Done, ///< all traffic is on the new version, which is the declared one now
-    RolledBack, ///< the old version has all traffic again, by the leader's verdict
-    Aborted, ///< the old version has all traffic again, by an operator's command
+    Ramping, ///< the new version's share grows with the evidence
+    Soaking, ///< the new version gets nearly all requests; the old one stays loaded and keeps a small share for comparison
+    Done, ///< the new version gets all requests, and is the declared version
+    RolledBack, ///< the old version gets all requests again, by the leader's verdict
+    Aborted, ///< the old version gets all requests again, by an operator's command
 };
 
-/// "ramping", "soaking", "done", "taken back", "aborted": as operators read it.
+/// Returns the state as operators read it: "ramping", "soaking", "done", "taken back" or "aborted".
 const char *toString(MoveState state);
 
 /// A share of a service's requests in thousandths.
 using Permille = Strong<struct PermilleTag, std::uint32_t>;
 constexpr Permille WholeShare{1000};
 
-/// A move of one service's traffic from its declared version to another, by a deadline. Times are wall-clock, as operators give them.
+/// A move of a service's requests from its declared version to another one by a deadline. Times are wall-clock times, as given by operators.
 ///
-/// States: Ramping -> Soaking -> Done; RolledBack and Aborted from either open state. A closed move never changes again, so a verdict
-/// that was decided before an abort and applied after it has no effect.
+/// State transitions: Ramping -> Soaking -> Done; Ramping or Soaking (the open states) -> RolledBack or Aborted. A closed move never changes, so
+/// a verdict that was decided before an abort and is applied after it has no effect.
 struct Move
 {
     MoveName name;
@@ -39,10 +39,11 @@
     WallTime started;
     WallTime deadline;
     MoveState state = MoveState::Ramping;
-    /// What the new version may get.
+    /// The new version's share of the requests.
     Permille share;
-    /// Why the state is what it is, in words for the operator.
+    /// Reason of the last decision, for operators.
     std::string reason;
+    /// When the state last changed.
     WallTime stateSince;
 
     bool isOpen() const
@@ -50,31 +51,31 @@
         return state == MoveState::Ramping || state == MoveState::Soaking;
     }
 
-    /// A new move under the declarations in force. Errors: NotFound (service, or no upstream of the version), Invalid (same version, or
-    /// a deadline that has passed).
+    /// Starts a move under the declarations in force. Errors: NotFound (the service, or any upstream of the version), Invalid (the declared
+    /// version, or a deadline that has passed).
     static Result<Move> start(const Declarations &declarations, const ServiceName &service, const VersionName &to, WallTime deadline, WallTime now);
-    /// The leader's verdict: another share in the same state, or the next state. Error: Invalid, when the state does not allow it.
+    /// Applies the leader's verdict: another share in the same state, or the next state. Error: Invalid, when the transition is not allowed.
     Result<Done> decide(MoveState next, Permille share, std::string reason, WallTime now);
-    /// An operator ends the move. Error: Invalid, when it is closed.
+    /// Aborts the move on an operator's command. Error: Invalid, when the move is closed.
     Result<Done> abort(const std::string &author, WallTime now);
 
     bool operator==(const Move &) const = default;
 };
 
-/// The first rule of open moves that declarations would break if they replaced the present ones, or nothing: an open move keeps its
-/// service, the service's declared version, and at least one upstream of each of the two versions.
+/// Returns the first rule of an open move that the declarations would violate if they replaced the present ones, or nothing. An open move
+/// requires its service, the service's declared version, and at least one upstream of each of the two versions.
 std::optional<Error> brokenMoveRule(const Move &move, const Declarations &declarations);
 
-/// The upstreams of one of the two versions that take part at a share, in the order of their names, so every VM picks the same ones.
-/// The version with the small share (the new one while ramping, the old one while soaking) gets few upstreams at full load each rather
-/// than many at a trickle: a fault that shows only under load shows while the share is small, and the two versions can be compared at
-/// like loads. The old version's other upstreams stay warm; they may take what the ones in use have no room for.
+/// Returns the upstreams of one of a move's versions that are used at the present share. They are chosen in the order of their names, so that
+/// every VM chooses the same ones. The version with the small share (the new one while ramping, the old one while soaking) uses few upstreams
+/// at full load rather than many at a low load. So a fault that appears only under load appears while the share is small, and the versions can
+/// be compared at similar loads. The old version's other upstreams stay loaded, and get requests for which the used ones have no free slot.
 std::vector<UpstreamName> upstreamsInMove(const Declarations &declarations, const Move &move, const VersionName &version);
 
-/// The upstreams of open moves' new versions that get no new work at the present share: entry VMs and schedulers leave them out.
+/// Returns the upstreams of open moves' new versions that get no requests at the present share: entry VMs and schedulers exclude them.
 std::set<UpstreamName> excludedUpstreams(const Declarations &declarations, const std::vector<Move> &moves);
 
-/// How many upstreams a version of a service has.
+/// Returns the number of upstreams of a version of a service.
 std::size_t upstreamCount(const Declarations &declarations, const ServiceName &service, const VersionName &version);
 
 }
--- a/src/domain/parse.cpp
+++ b/src/domain/parse.cpp
@@ -15,7 +15,7 @@
 constexpr std::int64_t MaxDeadlineMs = 3'600'000;
 constexpr std::int64_t MaxKeepAnswersS = 7 * 86'400;
 constexpr std::int64_t MaxCount = 1'000'000'000;
-constexpr std::size_t HashDigits = 64;
+constexpr std::size_t Sha256HexDigits = 64;
 
 Tier parseTier(TomlTable table)
 {
@@ -25,9 +25,9 @@
     };
 }
 
-bool isHash(const std::string &text)
+bool isSha256(const std::string &text)
 {
-    return text.size() == HashDigits && text.find_first_not_of("0123456789abcdef") == std::string::npos;
+    return text.size() == Sha256HexDigits && text.find_first_not_of("0123456789abcdef") == std::string::npos;
 }
 
 Organisation parseOrganisation(TomlTable table)
@@ -41,7 +41,7 @@
         .weight = static_cast<std::uint32_t>(table.integer("weight", 1, 1, 1000)),
     };
     for (const std::string &hash : table.texts("key_sha256")) {
-        if (!isHash(hash)) {
+        if (!isSha256(hash)) {
             table.reject("key_sha256", "'" + hash + "' is not a SHA-256: write 64 lower-case hexadecimal digits, as 'cumindykectl hash-key' prints them");
             continue;
         }
@@ -134,18 +134,18 @@
 
 Result<std::vector<Change>> readDeclarations(const std::string &folder)
 {
-    std::error_code failure;
+    std::error_code errorCode;
     std::vector<std::string> files;
-    for (const auto &entry : std::filesystem::directory_iterator(folder, failure)) {
+    for (const auto &entry : std::filesystem::directory_iterator(folder, errorCode)) {
         if (entry.path().extension() == ".toml") {
             files.push_back(entry.path().string());
         }
     }
-    if (failure || files.empty()) {
-        return Error{ErrorKind::NotFound, "'" + folder + "' holds no *.toml files that can be read: name the folder of the declarations"};
+    if (errorCode || files.empty()) {
+        return Error{ErrorKind::NotFound, "'" + folder + "' contains no readable *.toml files: give the folder of the declarations"};
     }
     std::ranges::sort(files);
-    std::vector<Change> all;
+    std::vector<Change> allChanges;
     for (const std::string &file : files) {
         const Result<std::string> text = readFile(file);
         if (!ok(text)) {
@@ -155,9 +155,9 @@
         if (!ok(changes)) {
             return errorOf(changes);
         }
-        all.insert(all.end(), valueOf(changes).begin(), valueOf(changes).end());
+        allChanges.insert(allChanges.end(), valueOf(changes).begin(), valueOf(changes).end());
     }
-    return all;
+    return allChanges;
 }
 
 }
--- a/tests/domain/declarationstest.cpp
+++ b/tests/domain/declarationstest.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-constexpr const char *Office = R"(
+constexpr const char *ExampleToml = R"(
 [[tier]]
 name = "committee"
 rank = 0
@@ -30,16 +30,16 @@
 slots = 8
 )";
 
-Declarations office()
+Declarations exampleDeclarations()
 {
-    const auto changes = parseDeclarations(Office, "office.toml");
+    const auto changes = parseDeclarations(ExampleToml, "office.toml");
     REQUIRE(ok(changes));
-    const auto declared = Declarations().apply(valueOf(changes));
-    REQUIRE(ok(declared));
-    return valueOf(declared);
+    const auto applied = Declarations().apply(valueOf(changes));
+    REQUIRE(ok(applied));
+    return valueOf(applied);
 }
 
-std::string errorFor(const std::string &toml)
+std::string parseError(const std::string &toml)
 {
     const auto changes = parseDeclarations(toml, "bad.toml");
     return ok(changes) ? "" : errorOf(changes).message;
@@ -47,40 +47,40 @@
 
 }
 
-TEST_CASE("declarations are parsed into aggregates")
+TEST_CASE("declarations are parsed from TOML")
 {
-    const Declarations declarations = office();
+    const Declarations declarations = exampleDeclarations();
     CHECK(declarations.revision() == Revision{1});
     REQUIRE(declarations.upstream(UpstreamName{"drafting-1"}));
     CHECK(declarations.upstream(UpstreamName{"drafting-1"})->address == Address{"10.0.0.1", 9000});
     CHECK(declarations.service(ServiceName{"drafting"})->kind == ServiceKind::Model);
 }
 
-TEST_CASE("an error names file, line, key and remedy")
+TEST_CASE("a parse error names file, line, key and remedy")
 {
-    CHECK(errorFor("[[tier]]\nname = \"a\"\nrank = 0\ncolour = 1\n").find("bad.toml:4: tier[0].colour: unknown key") != std::string::npos);
-    CHECK(errorFor("[[tier]]\nname = 3\nrank = 0\n").find("bad.toml:2: tier[0].name: wrong type") != std::string::npos);
-    CHECK(errorFor("[[tier]]\nname = \"a\"\nrank = 99\n").find("write 0 to 15") != std::string::npos);
-    CHECK(errorFor("[[tier]]\nname = \"a\"\n").find("tier[0].rank: missing") != std::string::npos);
-    CHECK(errorFor("[[tier]\n").find("bad.toml:1: not TOML") != std::string::npos);
+    CHECK(parseError("[[tier]]\nname = \"a\"\nrank = 0\ncolour = 1\n").find("bad.toml:4: tier[0].colour: unknown key") != std::string::npos);
+    CHECK(parseError("[[tier]]\nname = 3\nrank = 0\n").find("bad.toml:2: tier[0].name: wrong type") != std::string::npos);
+    CHECK(parseError("[[tier]]\nname = \"a\"\nrank = 99\n").find("write 0 to 15") != std::string::npos);
+    CHECK(parseError("[[tier]]\nname = \"a\"\n").find("tier[0].rank: missing") != std::string::npos);
+    CHECK(parseError("[[tier]\n").find("bad.toml:1: not TOML") != std::string::npos);
 }
 
-TEST_CASE("rules between declarations hold after every change")
+TEST_CASE("a change that violates a rule between declarations is rejected")
 {
-    const Declarations declarations = office();
+    const Declarations declarations = exampleDeclarations();
     CHECK_FALSE(ok(declarations.apply({Removal{.kind = Kind::Tier, .name = "committee"}})));
     CHECK_FALSE(ok(declarations.apply({Removal{.kind = Kind::Service, .name = "drafting"}})));
     CHECK_FALSE(ok(declarations.apply({Tier{.name = TierName{"other"}, .rank = TierRank{0}}})));
     CHECK(ok(declarations.apply({Removal{.kind = Kind::Upstream, .name = "drafting-1"}, Removal{.kind = Kind::Service, .name = "drafting"}})));
 }
 
-TEST_CASE("the changes to a target make the target")
+TEST_CASE("applying the changes to a target yields the target")
 {
-    const Declarations from = office();
+    const Declarations from = exampleDeclarations();
     auto changed = from.apply({Tier{.name = TierName{"routine"}, .rank = TierRank{1}}, Removal{.kind = Kind::Upstream, .name = "drafting-1"}});
     REQUIRE(ok(changed));
-    const auto again = from.apply(from.changesTo(valueOf(changed)));
-    REQUIRE(ok(again));
-    CHECK(valueOf(again).changesTo(valueOf(changed)).empty());
+    const auto reapplied = from.apply(from.changesTo(valueOf(changed)));
+    REQUIRE(ok(reapplied));
+    CHECK(valueOf(reapplied).changesTo(valueOf(changed)).empty());
     CHECK(from.changesTo(from).empty());
 }
--- a/tests/golden/threevmstest.cpp
+++ b/tests/golden/threevmstest.cpp
@@ -17,13 +17,13 @@
     return daemon.ctl({"members"}).out;
 }
 
-bool allLive(const DaemonProcess &daemon)
+bool areAllLive(const DaemonProcess &daemon)
 {
     const std::string members = membersOf(daemon);
     return members.find(" lost ") == std::string::npos && members.find(" leader") != std::string::npos && std::count(members.begin(), members.end(), '\n') == 3;
 }
 
-/// Index of the daemon that leads.
+/// Returns the index of the daemon that is the control leader.
 std::size_t leaderOf(Office &office)
 {
     std::smatch match;
@@ -39,24 +39,24 @@
 
 }
 
-// Operators and callers of three VMs with a replica each: an accepted change, a race that is lost, a deposit sent again at other VMs,
-// the leader killed, a change and a draft without it, its return, and a snapshot brought back as a new revision.
-TEST_CASE("the whole session of three VMs whose leader is killed is as recorded")
+// Operators and callers use three VMs with a replica each: an accepted change, a conflicting change, a deposit that is resent to other VMs, a
+// crash of the leader, a change and a request without it, its restart, and a snapshot that is restored as a new revision.
+TEST_CASE("a session with three VMs whose leader is killed matches the recording")
 {
     Office office(OfficeOptions{.vms = 3, .replicas = 3});
-    REQUIRE(eventually([&office] { return allLive(office.daemon()); }));
+    REQUIRE(eventually([&office] { return areAllLive(office.daemon()); }));
     const TemporaryFolder saved;
-    const std::string declared = contentOf(office.declarations() + "/office.toml");
+    const std::string declaredToml = contentOf(office.declarations() + "/office.toml");
     Session session;
 
     const std::size_t leader = leaderOf(office);
     const std::size_t second = (leader + 1) % 3;
     const std::size_t third = (leader + 2) % 3;
-    DaemonProcess &one = office.daemon(second);
+    DaemonProcess &secondDaemon = office.daemon(second);
 
-    session.note("snapshot save", one.ctl({"snapshot", "save", saved.file("state")}));
+    session.note("snapshot save", secondDaemon.ctl({"snapshot", "save", saved.file("state")}));
     writeFile(office.declarations() + "/zaria.toml", organisation("zaria"));
-    session.note("apply DIR --wait, with organisation zaria", one.ctl({"apply", office.declarations(), "--wait", "--author", "ade"}));
+    session.note("apply DIR --wait, with organisation zaria", secondDaemon.ctl({"apply", office.declarations(), "--wait", "--author", "ade"}));
     writeFile(office.declarations() + "/jos.toml", organisation("jos"));
     session.note("apply DIR, made against revision 1", office.daemon(third).ctl({"apply", office.declarations(), "--base-revision", "1", "--author", "bisi"}));
     session.note("POST deposit", office.deposit("deposit-1", "hall=3", second));
@@ -65,13 +65,13 @@
 
     office.daemon(leader).process().signal(SIGKILL);
     office.daemon(leader).process().wait();
-    session.note("the leader is killed; apply DIR", one.ctl({"apply", office.declarations(), "--author", "bisi"}));
-    REQUIRE(one.waitReady());
+    session.note("the leader is killed; apply DIR", secondDaemon.ctl({"apply", office.declarations(), "--author", "bisi"}));
+    REQUIRE(secondDaemon.waitReady());
     session.note("POST /v1/completions, without the leader", office.draft("Notice", 2, {}, second));
     office.daemon(leader).start();
-    REQUIRE(eventually([&one] { return allLive(one); }));
-    session.note("snapshot restore", one.ctl({"snapshot", "restore", saved.file("state")}));
-    session.note("history", one.ctl({"history"}));
+    REQUIRE(eventually([&secondDaemon] { return areAllLive(secondDaemon); }));
+    session.note("snapshot restore", secondDaemon.ctl({"snapshot", "restore", saved.file("state")}));
+    session.note("history", secondDaemon.ctl({"history"}));
 
     session.replace("vm-" + std::to_string(second + 1) + "-", "vm-0-");
     session.replace("vm-" + std::to_string(third + 1) + "-", "vm-0-");
