--- a/src/cell/grantpool.cpp
+++ b/src/cell/grantpool.cpp
@@ -51,7 +51,7 @@
 
 }
 
-Duration RunSpeed::run(const PendingRequest &request) const
+Duration RunSpeed::runTime(const PendingRequest &request) const
 {
     return perToken * request.answerTokens.value + std::chrono::duration_cast<Duration>(perPrefillToken * request.promptTokens.value);
 }
--- a/src/cell/grantpool.h
+++ b/src/cell/grantpool.h
@@ -36,7 +36,7 @@
     std::chrono::nanoseconds perPrefillToken{};
 
     /// Returns the time for prefill and answer of a request that starts at once.
-    Duration run(const PendingRequest &request) const;
+    Duration runTime(const PendingRequest &request) const;
 };
 
 /// The messages to be sent to the scheduler of a cell, in one batch.
@@ -71,8 +71,8 @@
     /// Returns whether acquire() can't return a slot for any request now.
     bool exhausted(TimePoint now) const;
 
-    /// Returns unused grants to their cells, and makes the messages to be sent now; none for a cell whose scheduler is up to date. Call it
-    /// some milliseconds after the queue or a slot changed, and at least every 100 ms.
+    /// Removes unused grants, and returns the messages to be sent now; none for a cell whose scheduler is up to date. Call it some milliseconds
+    /// after the queue or a slot changed, and at least every 100 ms.
     std::vector<CellMessages> messages(const ServiceName &service, const PendingQueue &queue, const VersionName &serviceVersion, TimePoint now);
 
     /// Sets the tier from which requests must be shed soon, so that the schedulers refuse lower tiers first; an empty value withdraws it.
--- a/src/domain/declarations.h
+++ b/src/domain/declarations.h
@@ -45,11 +45,11 @@
 struct Objective
 {
     TierName tier;
-    /// Share of requests that must be answered by their deadline.
+    /// Share of requests that must get a complete answer by their deadline.
     double onTimeShare = 0.99;
-    /// Maximum time to the first token.
+    /// Objective for the time to the first token.
     std::chrono::milliseconds firstToken{760};
-    /// Maximum mean time between tokens.
+    /// Objective for the mean time between tokens.
     std::chrono::milliseconds betweenTokens{41};
 
     bool operator==(const Objective &) const = default;
@@ -68,7 +68,7 @@
     /// "METHOD /path" prefixes of the calls to a plain service that must not be repeated.
     std::vector<std::string> nonIdempotent;
     std::vector<Objective> objectives;
-    /// How long the answers of requests with an idempotency key are saved.
+    /// How long the claim and the saved answer of a request with an idempotency key are kept after the request has ended.
     std::chrono::seconds keepAnswers{86'400};
 
     /// Returns whether a call must run at most once, and so needs an idempotency key.
--- a/src/policy/capacity.h
+++ b/src/policy/capacity.h
@@ -26,7 +26,7 @@
     {
         source.acquire(request, declarations, version, now)
         } -> std::same_as<std::optional<Slot>>;
-    // Returns a slot whose request has ended or was never sent.
+    // Releases a slot whose request has ended or was never sent.
     source.release(slot, now);
 };
 
--- a/src/policy/moveverdict.cpp
+++ b/src/policy/moveverdict.cpp
@@ -42,8 +42,8 @@
 /// Recent requests of the old version that a stratum needs before waits are compared in it; with fewer, the baseline of all strata is used.
 constexpr double MinBaselineRequests = 20;
 
-/// Returns the lowest bound that at most the target share of the old version's waits exceeds. Leaves room for the higher bounds with which
-/// the new version's waits are compared.
+/// Returns the lowest bound that at most the target share of the old version's waits exceeds. The highest two bounds are never returned, since
+/// the new version's waits are compared with a bound one or two above.
 std::size_t baselineBound(const std::array<double, WaitBoundCount> &overBound, double sent)
 {
     for (std::size_t k = 0; k + 3 < WaitBoundCount; ++k) {
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -64,7 +64,7 @@
         if (options.respectDeadline && upstream.speedMeasured && finishTime > timeLeft) {
             continue;
         }
-        // Step 3. With time to spare, prefer an upstream that has the prefix cached: prefilling it elsewhere would delay every request there.
+        // Step 3. With time to spare, prefer an upstream that has the prefix cached: on another one, the prefill would delay all running requests.
         if (cached && finishTime < timeLeft * MaxAffinityTimeShare) {
             finishTime *= AffinityFinishFactor;
         }
--- a/src/policy/shedding.h
+++ b/src/policy/shedding.h
@@ -12,7 +12,7 @@
 
 /// Supplies load shedding with the state of a service's cells: which tiers may be shed or are refused, and how fast requests run.
 template<typename T>
-concept FloorSource = requires(T source, const T constSource, const ServiceName &service, const PendingRequest &request, TierRank tier, TimePoint now)
+concept ShedStateSource = requires(T source, const T constSource, const ServiceName &service, const PendingRequest &request, TierRank tier, TimePoint now)
 {
     {
         constSource.mayShed(service, tier, now)
@@ -21,7 +21,7 @@
         constSource.refuseFrom(service, now)
         } -> std::same_as<std::optional<TierRank>>;
     {
-        constSource.speed(service).run(request)
+        constSource.speed(service).runTime(request)
         } -> std::same_as<Duration>;
     source.setMustShed(service, std::optional<TierRank>(tier));
 };
@@ -34,7 +34,7 @@
 /// Returns the predicted answer length, limited to what can be generated in half of the time to the deadline. When a prediction implies
 /// that a request would miss its deadline even if it started at once, the prediction is more likely wrong than the caller's deadline.
 /// Without the limit, one such request would count as shed for lack of capacity, and every lower tier would be refused because of it.
-template<FloorSource Source>
+template<ShedStateSource Source>
 TokenCount feasibleAnswer(const Source &source, const PendingRequest &request, TimePoint now)
 {
     const auto speed = source.speed(request.service);
@@ -43,7 +43,7 @@
     }
     PendingRequest promptOnly = request;
     promptOnly.answerTokens = TokenCount{0};
-    const Duration generationTime = (request.deadline - now) / 2 - speed.run(promptOnly);
+    const Duration generationTime = (request.deadline - now) / 2 - speed.runTime(promptOnly);
     const auto feasibleTokens = std::max<Duration::rep>(1, generationTime / speed.perToken);
     return TokenCount{static_cast<std::uint32_t>(std::min<Duration::rep>(request.answerTokens.value, feasibleTokens))};
 }
@@ -52,7 +52,7 @@
 ///
 /// A request is refused when it can no longer finish by its deadline even on the fastest upstream, so that no prefill is spent on it. While
 /// requests of a lower tier wait anywhere in its cells, those are refused first, on every VM. A request past its deadline is always refused.
-template<FloorSource Source>
+template<ShedStateSource Source>
 std::vector<PendingRequest> shedRequests(PendingQueue &queue, Source &source, const ServiceName &service, TimePoint now)
 {
     // Step 1. Remove the tiers that the cells' schedulers refuse in favour of higher tiers.
@@ -66,7 +66,7 @@
     std::optional<TierRank> mustShed;
     std::vector<RequestId> infeasible;
     for (const PendingRequest *request : queue.dueBy(horizon)) {
-        const TimePoint latestStart = request->deadline - speed.run(*request);
+        const TimePoint latestStart = request->deadline - speed.runTime(*request);
         if (now + ShedLeadTime < latestStart) {
             continue;
         }
