--- a/src/cell/grantpool.h
+++ b/src/cell/grantpool.h
@@ -65,6 +65,7 @@
     void handleGrants(const Grants &grants, TimePoint now);
     /// Returns a slot that was granted for requests like this one or for a lower tier, a kept slot, or one of the fallback share.
     std::optional<Slot> acquire(const PendingRequest &request, const Declarations &declarations, const VersionName &version, TimePoint now);
+    /// Releases a slot whose request has ended or was never sent. The slot is kept for the next request if the cell allows it.
     void release(const Slot &slot, TimePoint now);
     /// Records that the upstream refused a connection: it gets no request for a second, and is reported to the scheduler.
     void recordUnreachable(const UpstreamName &upstream, TimePoint now);
@@ -109,13 +110,17 @@
         /// Whether the slot was granted by a scheduler, which counts it as held, and its request needs no particular upstream.
         bool mayKeep = false;
     };
+    /// This VM's slots on an upstream.
     struct UpstreamSlots
     {
         PooledUpstream upstream;
         std::uint32_t cell = 0;
+        /// Slots with a request.
         std::uint32_t running = 0;
         std::uint32_t longRunning = 0;
+        /// Predicted tokens of the running requests.
         std::uint32_t tokens = 0;
+        /// Granted and kept slots without a request.
         std::uint32_t unused = 0;
         /// Number of slots that this VM may use while the cell has no scheduler.
         std::uint32_t fallbackShare = 0;
--- a/tests/policy/movepolicytest.cpp
+++ b/tests/policy/movepolicytest.cpp
@@ -76,11 +76,11 @@
 TEST_CASE("a wait is counted once per bound, when it exceeds the bound")
 {
     OutcomeCounters counters;
-    std::uint8_t passed = 0;
-    counters.recordFirstTokenWait(key(New), passed, std::chrono::milliseconds(25));
-    counters.recordFirstTokenWait(key(New), passed, std::chrono::milliseconds(45));
+    std::uint8_t boundsExceeded = 0;
+    counters.recordFirstTokenWait(key(New), boundsExceeded, std::chrono::milliseconds(25));
+    counters.recordFirstTokenWait(key(New), boundsExceeded, std::chrono::milliseconds(45));
     const OutcomeCounts &counts = counters.counts().at(key(New));
-    CHECK(passed == 3);
+    CHECK(boundsExceeded == 3);
     CHECK(counts.firstTokenOver[0] == 1);
     CHECK(counts.firstTokenOver[2] == 1);
     CHECK(counts.firstTokenOver[3] == 0);
