--- a/src/peer/outgoingqueue.cpp
+++ b/src/peer/outgoingqueue.cpp
@@ -103,7 +103,7 @@
         batch.envelopes.push_back(std::move(message.envelope));
         queue.messages.pop_front();
     }
-    batch.deadline = BaseCallTimeout + transferTimeout(batch.bytes);
+    batch.timeout = BaseCallTimeout + transferTimeout(batch.bytes);
     queue.queuedBytes -= batch.bytes;
     queue.inFlightBytes = batch.bytes;
     queue.isCallInFlight = true;
--- a/src/peer/outgoingqueue.h
+++ b/src/peer/outgoingqueue.h
@@ -52,7 +52,7 @@
     std::vector<v1::Envelope> envelopes;
     std::size_t bytes = 0;
     /// Timeout of the call; its messages are lost when the call does not finish within it.
-    Duration deadline{};
+    Duration timeout{};
 };
 
 /// The messages queued for one peer. Pure logic without I/O: decides which messages the next call carries, and which are dropped when too
--- a/src/peer/peertransport.cpp
+++ b/src/peer/peertransport.cpp
@@ -183,7 +183,7 @@
         }
         // Bulk messages are resent rarely, and VMs that have just started begin to listen shortly after their first heartbeat.
         call->context.set_wait_for_ready(batch.lane == Lane::Bulk);
-        call->context.set_deadline(std::chrono::system_clock::now() + batch.deadline);
+        call->context.set_deadline(std::chrono::system_clock::now() + batch.timeout);
         m_stub->async()->Deliver(&call->context, &call->batch, &call->ack, [self = shared_from_this(), call, lane = batch.lane](const grpc::Status &status) {
             self->onCallEnded(lane, status, call->batch);
         });
--- a/tests/control/distributionrig.cpp
+++ b/tests/control/distributionrig.cpp
@@ -175,11 +175,11 @@
     sender.bytesSent += bytes;
     sender.uplinkFree = std::max(m_now, sender.uplinkFree) + timeFor(bytes, sender.bytesPerSecond);
     const TimePoint arrival = std::max(sender.uplinkFree + m_options.oneWay, receiver.downlinkFree) + timeFor(bytes, receiver.bytesPerSecond);
-    const bool arrives = !sender.silent && !receiver.silent && arrival - m_now <= batch.deadline;
+    const bool arrives = !sender.silent && !receiver.silent && arrival - m_now <= batch.timeout;
     if (!receiver.silent) {
         receiver.downlinkFree = arrival;
     }
-    const TimePoint end = arrives ? arrival + m_options.oneWay : m_now + batch.deadline;
+    const TimePoint end = arrives ? arrival + m_options.oneWay : m_now + batch.timeout;
     if (arrives) {
         at(arrival, [this, from, to, envelopes = std::move(batch.envelopes)] {
             for (const v1::Envelope &envelope : envelopes) {
--- a/tests/peer/outgoingqueuetest.cpp
+++ b/tests/peer/outgoingqueuetest.cpp
@@ -74,9 +74,9 @@
     const auto batch = queue.next();
     REQUIRE(batch);
     CHECK(batch->envelopes.size() == 2);
-    CHECK(batch->deadline > std::chrono::seconds(3));
+    CHECK(batch->timeout > std::chrono::seconds(3));
     queue.push(heartbeat(1));
-    CHECK(queue.next()->deadline < std::chrono::milliseconds(1'100));
+    CHECK(queue.next()->timeout < std::chrono::milliseconds(1'100));
 }
 
 // Guards against running out of memory when every change enqueues a copy of the configuration for an unreachable peer.
