--- a/src/entry/entrytask.cpp
+++ b/src/entry/entrytask.cpp
@@ -28,7 +28,7 @@
 Result<std::unique_ptr<EntryTask>> EntryTask::open(EntryOptions options, Metrics &metrics)
 {
     std::unique_ptr<EntryTask> task(new EntryTask(std::move(options), metrics));
-    auto door = FrontDoor::listen(task->m_loop, task->m_options.address, task->m_options.requestReadLimit);
+    auto door = HttpServer::listen(task->m_loop, task->m_options.address, task->m_options.requestReadLimit);
     if (!ok(door)) {
         return errorOf(door);
     }
--- a/src/entry/entrytask.h
+++ b/src/entry/entrytask.h
@@ -119,7 +119,7 @@
     Timer m_tell;
     TimePoint m_lastTold;
     bool m_tellDue = false;
-    std::unique_ptr<FrontDoor> m_door;
+    std::unique_ptr<HttpServer> m_door;
     Admission m_admission;
     VersionTraffic m_versions;
     Dispatcher m_dispatcher;
--- a/src/entry/httpserver.cpp
+++ b/src/entry/httpserver.cpp
@@ -29,7 +29,7 @@
 
 }
 
-Result<std::unique_ptr<FrontDoor>> FrontDoor::listen(EventLoop &loop, const Address &address, Duration requestReadLimit)
+Result<std::unique_ptr<HttpServer>> HttpServer::listen(EventLoop &loop, const Address &address, Duration requestReadLimit)
 {
     evhttp *server = evhttp_new(loop.base());
     evhttp_set_max_headers_size(server, MaxHeaderBytes);
@@ -42,25 +42,25 @@
         return Error{ErrorKind::Unavailable,
                      "the address " + toString(address) + " can't be bound: check that it is this VM's and that nothing else uses the port"};
     }
-    return std::unique_ptr<FrontDoor>(new FrontDoor(loop, server, socket, requestReadLimit));
+    return std::unique_ptr<HttpServer>(new HttpServer(loop, server, socket, requestReadLimit));
 }
 
-FrontDoor::FrontDoor(EventLoop &loop, evhttp *server, evhttp_bound_socket *socket, Duration requestReadLimit)
+HttpServer::HttpServer(EventLoop &loop, evhttp *server, evhttp_bound_socket *socket, Duration requestReadLimit)
     : m_loop(loop)
     , m_server(server)
     , m_socket(socket)
     , m_requestReadLimit(requestReadLimit)
 {
-    evhttp_set_gencb(server, &FrontDoor::requestCame, this);
-    evhttp_set_bevcb(server, &FrontDoor::connectionCame, this);
+    evhttp_set_gencb(server, &HttpServer::requestCame, this);
+    evhttp_set_bevcb(server, &HttpServer::connectionCame, this);
 }
 
-FrontDoor::~FrontDoor()
+HttpServer::~HttpServer()
 {
     evhttp_free(m_server);
 }
 
-std::uint16_t FrontDoor::port() const
+std::uint16_t HttpServer::port() const
 {
     sockaddr_in bound{};
     socklen_t length = sizeof bound;
@@ -68,27 +68,27 @@
     return ntohs(bound.sin_port);
 }
 
-bufferevent *FrontDoor::connectionCame(event_base *base, void *self)
+bufferevent *HttpServer::connectionCame(event_base *base, void *self)
 {
-    auto *door = static_cast<FrontDoor *>(self);
+    auto *door = static_cast<HttpServer *>(self);
     bufferevent *connection = bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE);
     evbuffer *input = bufferevent_get_input(connection);
     door->m_readings[input] = Reading{.connection = connection, .since = {}};
-    evbuffer_add_cb(input, &FrontDoor::bytesCame, door);
+    evbuffer_add_cb(input, &HttpServer::bytesCame, door);
     return connection;
 }
 
-void FrontDoor::bytesCame(evbuffer *input, const evbuffer_cb_info *info, void *self)
+void HttpServer::bytesCame(evbuffer *input, const evbuffer_cb_info *info, void *self)
 {
     if (info->n_added > 0) {
-        static_cast<FrontDoor *>(self)->checkReadTime(input);
+        static_cast<HttpServer *>(self)->checkReadTime(input);
     }
 }
 
 /// libevent's timeout starts again with each byte, so a caller that sends one byte a minute would hold its connection for days, and
 /// some thousands of such callers would hold every connection that the VM may open. The time is checked at each byte that comes: one
 /// who sends nothing meets libevent's timeout instead, so nobody stays longer than both together.
-void FrontDoor::checkReadTime(evbuffer *input)
+void HttpServer::checkReadTime(evbuffer *input)
 {
     Reading &reading = m_readings[input];
     const TimePoint now = EventLoop::now();
@@ -105,9 +105,9 @@
     shutdown(socket, SHUT_RDWR);
 }
 
-void FrontDoor::requestCame(evhttp_request *request, void *self)
+void HttpServer::requestCame(evhttp_request *request, void *self)
 {
-    auto *door = static_cast<FrontDoor *>(self);
+    auto *door = static_cast<HttpServer *>(self);
     door->m_readings[bufferevent_get_input(evhttp_connection_get_bufferevent(evhttp_request_get_connection(request)))].since.reset();
     door->m_arrived.emit(std::make_shared<Exchange>(door->m_loop, request));
 }
--- a/src/entry/httpserver.h
+++ b/src/entry/httpserver.h
@@ -21,15 +21,15 @@
 {
 
 /// The HTTP server that callers and the balancer talk to. Limits sizes and times, and hands every request on as an Exchange.
-class FrontDoor
+class HttpServer
 {
 public:
     /// Error: Unavailable, when the address can't be bound. A port of 0 lets the kernel choose: see port().
     /// A caller that takes longer than the limit to send one request, however steadily, is answered 408 and cut off.
-    static Result<std::unique_ptr<FrontDoor>> listen(EventLoop &loop, const Address &address, Duration requestReadLimit);
-    ~FrontDoor();
-    FrontDoor(const FrontDoor &) = delete;
-    FrontDoor &operator=(const FrontDoor &) = delete;
+    static Result<std::unique_ptr<HttpServer>> listen(EventLoop &loop, const Address &address, Duration requestReadLimit);
+    ~HttpServer();
+    HttpServer(const HttpServer &) = delete;
+    HttpServer &operator=(const HttpServer &) = delete;
 
     std::uint16_t port() const;
     sigc::signal<void, std::shared_ptr<Exchange>> &arrived()
@@ -38,7 +38,7 @@
     }
 
 private:
-    FrontDoor(EventLoop &loop, evhttp *server, evhttp_bound_socket *socket, Duration requestReadLimit);
+    HttpServer(EventLoop &loop, evhttp *server, evhttp_bound_socket *socket, Duration requestReadLimit);
     static void requestCame(evhttp_request *request, void *self);
     static bufferevent *connectionCame(event_base *base, void *self);
     static void bytesCame(evbuffer *input, const evbuffer_cb_info *info, void *self);
--- a/src/proxy/proxytask.cpp
+++ b/src/proxy/proxytask.cpp
@@ -50,13 +50,13 @@
 
 std::optional<Error> ProxyTask::bind()
 {
-    auto door = FrontDoor::listen(m_loop, m_options.address, m_options.requestReadLimit);
+    auto door = HttpServer::listen(m_loop, m_options.address, m_options.requestReadLimit);
     if (!ok(door)) {
         return errorOf(door);
     }
     m_callerDoor = std::move(valueOf(door));
     m_callerDoor->arrived().connect([this](const std::shared_ptr<Exchange> &exchange) { handleRequest(exchange); });
-    auto readiness = FrontDoor::listen(m_loop, m_options.readinessAddress, m_options.requestReadLimit);
+    auto readiness = HttpServer::listen(m_loop, m_options.readinessAddress, m_options.requestReadLimit);
     if (!ok(readiness)) {
         return errorOf(readiness);
     }
--- a/src/proxy/proxytask.h
+++ b/src/proxy/proxytask.h
@@ -153,8 +153,8 @@
     Metrics &m_metrics;
     /// Distinguishes this process's messages from those of its predecessor.
     const std::uint64_t m_incarnation;
-    std::unique_ptr<FrontDoor> m_callerDoor;
-    std::unique_ptr<FrontDoor> m_readinessDoor;
+    std::unique_ptr<HttpServer> m_callerDoor;
+    std::unique_ptr<HttpServer> m_readinessDoor;
     std::unique_ptr<PlacementHost> m_placement;
     std::shared_ptr<const RouteIndex> m_routes;
     std::map<std::string, v1::Rollout> m_rollouts;
--- a/tests/cell/loadpollertest.cpp
+++ b/tests/cell/loadpollertest.cpp
@@ -65,7 +65,7 @@
 {
     const TestNetwork network;
     EventLoop loop;
-    auto engine = FrontDoor::listen(loop, Address{network.host(11), 0}, std::chrono::seconds(30));
+    auto engine = HttpServer::listen(loop, Address{network.host(11), 0}, std::chrono::seconds(30));
     REQUIRE(ok(engine));
     valueOf(engine)->arrived().connect([](const std::shared_ptr<Exchange> &exchange) { exchange->reply(404, "text/plain", "no such path\n"); });
     LoadPoller poller(loop, std::chrono::milliseconds(20));
--- a/tests/fakeplatform/fakeplatform.cpp
+++ b/tests/fakeplatform/fakeplatform.cpp
@@ -60,7 +60,7 @@
     , m_service(service)
     , m_address{.host = host, .port = 0}
 {
-    auto door = FrontDoor::listen(m_loop, m_address, std::chrono::seconds(30));
+    auto door = HttpServer::listen(m_loop, m_address, std::chrono::seconds(30));
     if (!ok(door)) {
         throw std::runtime_error(errorOf(door).message);
     }
--- a/tests/fakeplatform/fakeplatform.h
+++ b/tests/fakeplatform/fakeplatform.h
@@ -55,7 +55,7 @@
     const std::string m_service;
     Address m_address;
     EventLoop m_loop;
-    std::unique_ptr<FrontDoor> m_door;
+    std::unique_ptr<HttpServer> m_door;
     std::vector<std::unique_ptr<Stream>> m_streams;
     mutable std::mutex m_mutex;
     std::vector<SeenRequest> m_seen;
--- a/tests/proxy/instancelistreadertest.cpp
+++ b/tests/proxy/instancelistreadertest.cpp
@@ -19,7 +19,7 @@
     PagedList(EventLoop &loop, int upstreams)
         : m_upstreams(upstreams)
     {
-        auto door = FrontDoor::listen(loop, Address{.host = "127.0.0.1", .port = 0}, std::chrono::seconds(5));
+        auto door = HttpServer::listen(loop, Address{.host = "127.0.0.1", .port = 0}, std::chrono::seconds(5));
         REQUIRE(ok(door));
         m_door = std::move(valueOf(door));
         m_door->arrived().connect([this](const std::shared_ptr<Exchange> &exchange) { reply(*exchange); });
@@ -78,7 +78,7 @@
     }
 
     const int m_upstreams;
-    std::unique_ptr<FrontDoor> m_door;
+    std::unique_ptr<HttpServer> m_door;
 };
 
 std::set<std::string> namesIn(const InstanceList &list)
