--- a/src/entry/entrytask.cpp
+++ b/src/entry/entrytask.cpp
@@ -202,7 +202,7 @@
     const RequestId id = active.request.id;
     const Declarations &declarations = *m_admission.configuration().declarations;
     m_limits.add(*declarations.organisation(active.request.organisation), heldBytes(active.request), workOf(active.request), now);
-    exchange->callerLeft().connect([this, id] { callerLeft(id); });
+    exchange->callerDisconnected().connect([this, id] { callerDisconnected(id); });
     m_history.write("admitted",
                     id,
                     now,
@@ -399,7 +399,7 @@
     tellSoon(now);
 }
 
-void EntryTask::callerLeft(const RequestId &id)
+void EntryTask::callerDisconnected(const RequestId &id)
 {
     const ActiveRequest *active = m_requests.find(id);
     // A keyed request that went out runs to its end: a later sending under its key gets the answer.
--- a/src/entry/entrytask.h
+++ b/src/entry/entrytask.h
@@ -101,7 +101,7 @@
     void dispatch(const RequestId &id, const Slot &slot, const Upstream &upstream);
     void runEnded(const RequestId &id, const RunResult &result);
     void tryElsewhere(ActiveRequest &active);
-    void callerLeft(const RequestId &id);
+    void callerDisconnected(const RequestId &id);
     void giveUp(const RequestId &id, const Error &error);
     void giveUpAs(const RequestId &id, const Error &error, RunOutcome outcome);
     void finish(const RequestId &id, RequestEnd end);
--- a/src/entry/exchange.h
+++ b/src/entry/exchange.h
@@ -72,7 +72,7 @@
     void streamData(std::string_view bytes);
     void endStream();
     /// Closes the caller's connection without the end of the answer, so that what was sent so far can't be taken for a whole one. Not to be
-    /// called from a slot of callerLeft() or drained().
+    /// called from a slot of callerDisconnected() or drained().
     void abort();
     /// Keeps a copy of the answer from now on, also after the caller has left. A copy over the limit is dropped.
     void record(std::size_t limitBytes);
@@ -86,7 +86,7 @@
     std::size_t unreadBytes() const;
 
     /// The caller closed its connection before the answer's end.
-    sigc::signal<void> &callerLeft()
+    sigc::signal<void> &callerDisconnected()
     {
         return m_callerLeft;
     }
--- a/src/proxy/proxytask.cpp
+++ b/src/proxy/proxytask.cpp
@@ -191,7 +191,7 @@
 {
     const std::uint64_t key = m_nextLocalId++;
     m_heldRequests.emplace(key, HeldRequest{.exchange = exchange, .arrived = now});
-    exchange->callerLeft().connect([this, key] {
+    exchange->callerDisconnected().connect([this, key] {
         if (const auto held = m_heldRequests.find(key); held != m_heldRequests.end()) {
             m_exchangesToAbort.push_back(held->second.exchange);
             m_heldRequests.erase(held);
@@ -238,7 +238,7 @@
     }
     const LocalRequestId localId{m_nextLocalId++};
     auto &request = *m_requests.emplace(localId, std::make_unique<ProxyRequest>(localId, std::move(std::get<ParsedRequest>(parsed)), exchange)).first->second;
-    exchange->callerLeft().connect([this, localId] { onCallerLeft(localId); });
+    exchange->callerDisconnected().connect([this, localId] { onCallerLeft(localId); });
     request.deadlineTimer = std::make_unique<Timer>(m_loop, [this, localId] { onDeadlinePassed(localId); });
     request.deadlineTimer->startOnce(request.parsed.deadline - now);
     m_retryBudgets[request.parsed.service].recordFirstAttempt();
