--- a/src/proxy/instancelistreader.cpp
+++ b/src/proxy/instancelistreader.cpp
@@ -82,7 +82,7 @@
                             .target = m_protocol.target(m_list.dataCentre, m_currentRead.pageToken),
                             .headers = {},
                             .body = {}};
-    request.mayEndWithConnection = true;
+    request.allowsCloseDelimitedBody = true;
     m_call = std::make_unique<UpstreamCall>(m_loop, std::move(request), ListTimeouts);
     m_call->head().connect([this](const AnswerHead &head) { m_status = head.status; });
     m_call->data().connect([this](std::string_view bytes) {
--- a/src/proxy/proxyanswers.cpp
+++ b/src/proxy/proxyanswers.cpp
@@ -123,7 +123,7 @@
         .body = request.exchange->body(),
         .host = request.exchange->header("Host"),
         .idHeader = m_options.headers.requestId,
-        .mayEndWithConnection = true,
+        .allowsCloseDelimitedBody = true,
     };
     request.call = std::make_unique<UpstreamCall>(m_loop, std::move(upstreamRequest), timeoutsFor(request, now));
     request.attempts.recordStart();
--- a/src/upstream/upstreamcall.cpp
+++ b/src/upstream/upstreamcall.cpp
@@ -221,7 +221,7 @@
         fail(m_byteSent ? CallFailure::Lost : CallFailure::NotSent);
         return;
     }
-    if (!m_endIsMarked && !m_request.mayEndWithConnection) {
+    if (!m_endIsMarked && !m_request.allowsCloseDelimitedBody) {
         fail(CallFailure::Lost);
         return;
     }
--- a/src/upstream/upstreamcall.h
+++ b/src/upstream/upstreamcall.h
@@ -38,7 +38,7 @@
     /// The header that carries the id, and in which the upstream echoes it.
     std::string idHeader = "X-Request-Id";
     /// An answer without a length counts as whole when its connection ends in order, not by a reset.
-    bool mayEndWithConnection = false;
+    bool allowsCloseDelimitedBody = false;
 };
 
 struct AnswerHead
