--- a/src/control/moveleader.cpp
+++ b/src/control/moveleader.cpp
@@ -34,7 +34,7 @@
 std::vector<v1::MoveVerdict> MoveLeader::advance(const StateMachine &state, WallTime now)
 {
     const OutcomeMap growth = m_collector.takeGrowth();
-    for (const auto &[of, counts] : burnCounts(growth, state.declarations())) {
+    for (const auto &[of, counts] : aggregateBurnCounts(growth, state.declarations())) {
         m_minute[of] += counts;
     }
     std::erase_if(m_ramps, [&state](const auto &entry) { return !state.moves().contains(entry.first); });
--- a/src/report/burnseries.cpp
+++ b/src/report/burnseries.cpp
@@ -94,7 +94,7 @@
     m_hours = std::move(hours);
 }
 
-BurnCountMap burnCounts(const OutcomeMap &growth, const Declarations &declarations)
+BurnCountMap aggregateBurnCounts(const OutcomeMap &growth, const Declarations &declarations)
 {
     BurnCountMap sums;
     for (const auto &[key, counts] : growth) {
--- a/src/report/burnseries.h
+++ b/src/report/burnseries.h
@@ -77,6 +77,6 @@
 };
 
 /// Sums the growth of all counters into what the report needs. An objective's time is rounded up to the next bound of the counters.
-BurnCountMap burnCounts(const OutcomeMap &growth, const Declarations &declarations);
+BurnCountMap aggregateBurnCounts(const OutcomeMap &growth, const Declarations &declarations);
 
 }
--- a/tests/report/burntest.cpp
+++ b/tests/report/burntest.cpp
@@ -88,7 +88,7 @@
     OutcomeCounts sent{.sent = 6, .onTime = 5, .failed = 1};
     sent.firstTokenOver[11] = 2;
     growth[OutcomeKey{.service = Drafting, .version = VersionName{"v1"}, .route = "chat", .tier = TierRank{0}}] = sent;
-    const BurnCounts sum = burnCounts(growth, office()).at({Drafting, TierRank{0}});
+    const BurnCounts sum = aggregateBurnCounts(growth, office()).at({Drafting, TierRank{0}});
     CHECK(sum.all() == 7);
     CHECK(sum.refused == 2);
     CHECK(sum.sent == 6);
