--- a/src/daemon/adapter.h
+++ b/src/daemon/adapter.h
@@ -27,7 +27,7 @@
     std::string readinessPath;
     std::function<InstanceListProtocol(const Address &list)> instanceList;
     /// Operators' calls, and the VM's metrics beside them. Error: Unavailable, when the address can't be bound.
-    std::function<Result<std::unique_ptr<OperatorServer>>(const Address &address, ControlTask &control, const Metrics &metrics)> serveOperators;
+    std::function<Result<std::unique_ptr<OperatorServer>>(const Address &address, ControlTask &control, const Metrics &metrics)> startOperatorServer;
 };
 
 }
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -64,7 +64,7 @@
 std::optional<Error> Daemon::openFrontDoor(const Settings &settings, const Adapter &adapter)
 {
     if (settings.operatorApi) {
-        auto served = adapter.serveOperators(*settings.operatorApi, *m_control, m_metrics);
+        auto served = adapter.startOperatorServer(*settings.operatorApi, *m_control, m_metrics);
         if (!ok(served)) {
             return errorOf(served);
         }
