--- a/src/entry/answers.cpp
+++ b/src/entry/answers.cpp
@@ -48,7 +48,7 @@
 
 bool StreamedAnswer::finish()
 {
-    if (!m_stream.ended()) {
+    if (!m_stream.isComplete()) {
         return false;
     }
     m_exchange->streamData(serialized(StreamEvent{.id = {}, .name = {}, .data = std::string(EndMarker)}));
@@ -103,7 +103,7 @@
 
 bool AssembledAnswer::finish()
 {
-    if (!m_stream.ended()) {
+    if (!m_stream.isComplete()) {
         return false;
     }
     nlohmann::ordered_json choice{{"index", 0}};
--- a/src/entry/dispatcher.cpp
+++ b/src/entry/dispatcher.cpp
@@ -41,25 +41,25 @@
 
 void Dispatcher::onUpstreamRefused(const UpstreamName &upstream, TimePoint now)
 {
-    m_availability.refused(upstream, now);
+    m_availability.recordRefusal(upstream, now);
     refreshAvailability(now);
 }
 
 void Dispatcher::onUpstreamAccepted(const UpstreamName &upstream, TimePoint now)
 {
-    m_availability.took(upstream);
+    m_availability.recordAcceptance(upstream);
     refreshAvailability(now);
 }
 
 void Dispatcher::setDrainingUpstreams(std::set<UpstreamName> draining, TimePoint now)
 {
-    m_availability.setLeaving(std::move(draining));
+    m_availability.setDraining(std::move(draining));
     refreshAvailability(now);
 }
 
 void Dispatcher::refreshAvailability(TimePoint now)
 {
-    for (const UpstreamName &upstream : m_availability.unusable(now)) {
+    for (const UpstreamName &upstream : m_availability.unusableUpstreams(now)) {
         m_capacity.recordUnreachable(upstream, now);
     }
     rerouteQueued(now);
@@ -115,7 +115,7 @@
             m_capacity.release(slot, now);
             return;
         }
-        m_availability.granted(upstream->name, now);
+        m_availability.recordDispatch(upstream->name, now);
         m_slotGranted.emit(request.id, slot, *upstream);
     });
 }
--- a/src/entry/entrytask.cpp
+++ b/src/entry/entrytask.cpp
@@ -219,7 +219,7 @@
 
 void EntryTask::onLeavingVmsChanged(const LeavingVms &leaving)
 {
-    m_dispatcher.setDrainingUpstreams(leavingUpstreams(leaving, *m_admission.configuration().declarations), EventLoop::now());
+    m_dispatcher.setDrainingUpstreams(drainingUpstreams(leaving, *m_admission.configuration().declarations), EventLoop::now());
 }
 
 bool EntryTask::refuseOverLimit(const CallerRequest &request, Exchange &exchange, TimePoint now)
--- a/src/entry/upstreamattempt.cpp
+++ b/src/entry/upstreamattempt.cpp
@@ -139,7 +139,7 @@
         m_failedResumes = 0;
         m_tokensReceived.emit(m_stream->offset());
     }
-    if (m_stream && m_stream->broken()) {
+    if (m_stream && m_stream->isBroken()) {
         m_call->cancel();
         scheduleResume();
         return;
@@ -169,7 +169,7 @@
         end(AttemptResult::Kind::NotRun);
         return;
     }
-    if (failure == CallFailure::WrongAnswer) {
+    if (failure == CallFailure::MismatchedId) {
         m_counters.mismatchedAnswers.add();
     }
     scheduleResume();
@@ -195,7 +195,7 @@
 {
     m_counters.resumes.add();
     m_resuming = true;
-    m_stream->reconnected();
+    m_stream->startConnection();
     m_failureBody.clear();
     m_head = {};
     m_call = std::make_unique<UpstreamCall>(m_loop,
@@ -220,7 +220,7 @@
     // A lost stream may still run at the upstream, so cancel() must return true for it.
     m_finished = kind != AttemptResult::Kind::Lost;
     if (m_stream) {
-        m_counters.duplicateEvents.add(static_cast<double>(m_stream->duplicates()));
+        m_counters.duplicateEvents.add(static_cast<double>(m_stream->duplicateCount()));
     }
     m_ended.emit(AttemptResult{.kind = kind, .status = m_head.status, .failureBody = m_failureBody});
 }
--- a/src/upstream/availability.cpp
+++ b/src/upstream/availability.cpp
@@ -8,55 +8,55 @@
 namespace
 {
 
-constexpr Duration FirstPause = std::chrono::milliseconds(500);
-constexpr Duration LongestPause = std::chrono::seconds(15);
-/// A trial whose result is not known by then makes room for the next one.
-constexpr Duration TrialPatience = std::chrono::seconds(1);
+constexpr Duration MinEjectionTime = std::chrono::milliseconds(500);
+constexpr Duration MaxEjectionTime = std::chrono::seconds(15);
+/// A probe without a result by then is followed by another one.
+constexpr Duration ProbeTimeout = std::chrono::seconds(1);
 
 }
 
-void Availability::refused(const UpstreamName &upstream, TimePoint now)
+void Availability::recordRefusal(const UpstreamName &upstream, TimePoint now)
 {
-    Sign &sign = m_signs[upstream];
-    // Requests that went out together are refused together: that is one sign, not many.
-    if (!sign.onTrial && now < sign.until) {
+    Ejection &ejection = m_ejections[upstream];
+    // Requests that were sent together are refused together and count as one refusal.
+    if (!ejection.isProbing && now < ejection.ejectedUntil) {
         return;
     }
-    sign.onTrial = false;
-    sign.pause = sign.pause == Duration::zero() ? FirstPause : std::min(sign.pause * 2, LongestPause);
-    sign.until = now + sign.pause;
+    ejection.isProbing = false;
+    ejection.ejectionTime = ejection.ejectionTime == Duration::zero() ? MinEjectionTime : std::min(ejection.ejectionTime * 2, MaxEjectionTime);
+    ejection.ejectedUntil = now + ejection.ejectionTime;
 }
 
-void Availability::took(const UpstreamName &upstream)
+void Availability::recordAcceptance(const UpstreamName &upstream)
 {
-    m_signs.erase(upstream);
+    m_ejections.erase(upstream);
 }
 
-void Availability::granted(const UpstreamName &upstream, TimePoint now)
+void Availability::recordDispatch(const UpstreamName &upstream, TimePoint now)
 {
-    const auto sign = m_signs.find(upstream);
-    if (sign != m_signs.end()) {
-        sign->second.onTrial = true;
-        sign->second.until = now + TrialPatience;
+    const auto ejection = m_ejections.find(upstream);
+    if (ejection != m_ejections.end()) {
+        ejection->second.isProbing = true;
+        ejection->second.ejectedUntil = now + ProbeTimeout;
     }
 }
 
-void Availability::setLeaving(std::set<UpstreamName> leaving)
+void Availability::setDraining(std::set<UpstreamName> draining)
 {
-    m_leaving = std::move(leaving);
+    m_draining = std::move(draining);
 }
 
 bool Availability::isUsable(const UpstreamName &upstream, TimePoint now) const
 {
-    const auto sign = m_signs.find(upstream);
-    return !m_leaving.contains(upstream) && (sign == m_signs.end() || sign->second.until <= now);
+    const auto ejection = m_ejections.find(upstream);
+    return !m_draining.contains(upstream) && (ejection == m_ejections.end() || ejection->second.ejectedUntil <= now);
 }
 
-std::set<UpstreamName> Availability::unusable(TimePoint now) const
+std::set<UpstreamName> Availability::unusableUpstreams(TimePoint now) const
 {
-    std::set<UpstreamName> names = m_leaving;
-    for (const auto &[upstream, sign] : m_signs) {
-        if (sign.until > now) {
+    std::set<UpstreamName> names = m_draining;
+    for (const auto &[upstream, ejection] : m_ejections) {
+        if (ejection.ejectedUntil > now) {
             names.insert(upstream);
         }
     }
--- a/src/upstream/availability.h
+++ b/src/upstream/availability.h
@@ -9,40 +9,40 @@
 namespace cumindyke
 {
 
-/// Which upstreams get no new work for now: those that refuse it or can't be reached, and those the platform says are leaving.
+/// Tracks which upstreams get no new work: those ejected because they refuse requests or can't be reached, and those draining.
 ///
-/// Failure guarded against: an upstream that fails at once looks idle, so the least busy one is always the broken one, and callers see
-/// refusals while healthy upstreams stand by. The first sign keeps new work away; afterwards one request at a time is the trial, and
-/// only a trial that ran brings the upstream back. So a broken or leaving upstream costs one refused dispatch for each pause, and pauses
-/// double. A dispatch that was refused is not lost: it goes elsewhere.
+/// Guards against a failing upstream that attracts all requests: it fails at once and so looks idle, and callers see refusals while healthy
+/// upstreams are unused. The first refusal ejects the upstream. When the ejection time has passed, a single request probes it; only an
+/// accepted probe readmits it, and a refused one doubles the ejection time. So a failing upstream costs one refused dispatch per ejection
+/// time, and the refused request is placed on another upstream.
 class Availability
 {
 public:
-    /// It refused a request unrun, or no connection to it could be made.
-    void refused(const UpstreamName &upstream, TimePoint now);
-    /// It took a request.
-    void took(const UpstreamName &upstream);
-    /// A request goes to it: if this is a trial, no other goes until its result is known or TrialPatience is over.
-    void granted(const UpstreamName &upstream, TimePoint now);
-    /// All upstreams that the platform says are leaving.
-    void setLeaving(std::set<UpstreamName> leaving);
+    /// Records that the upstream refused a request without running it, or that no connection to it could be made.
+    void recordRefusal(const UpstreamName &upstream, TimePoint now);
+    /// Records that the upstream accepted a request.
+    void recordAcceptance(const UpstreamName &upstream);
+    /// Records that a request is sent to the upstream. If it is a probe, no other request follows until its result or ProbeTimeout.
+    void recordDispatch(const UpstreamName &upstream, TimePoint now);
+    /// Sets all upstreams that are draining according to the platform.
+    void setDraining(std::set<UpstreamName> draining);
 
     bool isUsable(const UpstreamName &upstream, TimePoint now) const;
-    /// The upstreams that are not usable.
-    std::set<UpstreamName> unusable(TimePoint now) const;
+    /// Returns the upstreams that must get no new work.
+    std::set<UpstreamName> unusableUpstreams(TimePoint now) const;
 
 private:
-    struct Sign
+    struct Ejection
     {
         /// No new work before this time.
-        TimePoint until;
-        Duration pause{0};
-        /// One request is out to see whether the upstream is back.
-        bool onTrial = false;
+        TimePoint ejectedUntil;
+        Duration ejectionTime{0};
+        /// A request is probing whether the upstream works again.
+        bool isProbing = false;
     };
 
-    std::map<UpstreamName, Sign> m_signs;
-    std::set<UpstreamName> m_leaving;
+    std::map<UpstreamName, Ejection> m_ejections;
+    std::set<UpstreamName> m_draining;
 };
 
 }
--- a/src/upstream/eventstream.cpp
+++ b/src/upstream/eventstream.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Bounds what one event can make a VM hold.
+/// Bounds the memory that one event can use.
 constexpr std::size_t MaxEventBytes = 1U << 20;
 
 }
@@ -17,7 +17,7 @@
 {
     std::vector<StreamEvent> events;
     while (!bytes.empty() && !m_broken) {
-        if (std::exchange(m_afterReturn, false) && bytes.front() == '\n') {
+        if (std::exchange(m_afterCarriageReturn, false) && bytes.front() == '\n') {
             bytes.remove_prefix(1);
             continue;
         }
@@ -30,16 +30,16 @@
         if (end == std::string_view::npos) {
             break;
         }
-        m_afterReturn = bytes[end] == '\r';
+        m_afterCarriageReturn = bytes[end] == '\r';
         bytes.remove_prefix(end + 1);
         std::string line;
         line.swap(m_partialLine);
-        takeLine(line, events);
+        parseLine(line, events);
     }
     return events;
 }
 
-void EventStreamParser::takeLine(std::string_view line, std::vector<StreamEvent> &events)
+void EventStreamParser::parseLine(std::string_view line, std::vector<StreamEvent> &events)
 {
     if (line.empty()) {
         if (m_hasData) {
--- a/src/upstream/eventstream.h
+++ b/src/upstream/eventstream.h
@@ -18,29 +18,30 @@
     bool operator==(const StreamEvent &) const = default;
 };
 
-/// Splits a text/event-stream body, fed in pieces of any size, into events (WHATWG HTML, "Server-sent events").
+/// Incremental parser of text/event-stream bodies (WHATWG HTML, "Server-sent events").
 class EventStreamParser
 {
 public:
-    /// The events completed by these bytes. After an event over the size limit, broken() holds and nothing more comes.
+    /// Parses the next bytes of the body and returns the events that they complete. After an event over the size limit, isBroken() is true
+    /// and no more events are returned.
     std::vector<StreamEvent> feed(std::string_view bytes);
-    bool broken() const
+    bool isBroken() const
     {
         return m_broken;
     }
 
 private:
-    void takeLine(std::string_view line, std::vector<StreamEvent> &events);
+    void parseLine(std::string_view line, std::vector<StreamEvent> &events);
 
     std::string m_partialLine;
     StreamEvent m_event;
     bool m_hasData = false;
-    /// The last byte was a carriage return, which ends a line by itself: a newline after it belongs to the same end.
-    bool m_afterReturn = false;
+    /// The last byte was a carriage return, which ends a line; a newline after it belongs to the same line end.
+    bool m_afterCarriageReturn = false;
     bool m_broken = false;
 };
 
-/// The event as it goes on the wire.
+/// Returns the event in the text/event-stream format.
 std::string serialized(const StreamEvent &event);
 
 }
--- a/src/upstream/platformlist.cpp
+++ b/src/upstream/platformlist.cpp
@@ -25,13 +25,13 @@
 {
     const nlohmann::json list = nlohmann::json::parse(json, nullptr, false);
     if (!list.is_object() || !list.contains("vms") || !list["vms"].is_array()) {
-        return Error{ErrorKind::Invalid, R"(the platform's list is no JSON object with "vms": check the setting platform_list)"};
+        return Error{ErrorKind::Invalid, R"(the platform's list is not a JSON object with "vms": check the setting platform_list)"};
     }
     LeavingVms leaving;
     for (const nlohmann::json &vm : list["vms"]) {
         const bool hasFields = vm.is_object() && vm.contains("address") && vm["address"].is_string() && vm.contains("state") && vm["state"].is_string();
         if (!hasFields) {
-            return Error{ErrorKind::Invalid, R"(a VM in the platform's list has no "address" or "state": check what writes the list)"};
+            return Error{ErrorKind::Invalid, R"(a VM in the platform's list has no "address" or "state": check the program that writes the list)"};
         }
         if (vm["state"] == "leaving") {
             leaving.insert(vm["address"].get<std::string>());
@@ -40,29 +40,29 @@
     return leaving;
 }
 
-std::set<UpstreamName> leavingUpstreams(const LeavingVms &leaving, const Declarations &declarations)
+std::set<UpstreamName> drainingUpstreams(const LeavingVms &leaving, const Declarations &declarations)
 {
-    std::set<UpstreamName> names;
+    std::set<UpstreamName> upstreams;
     if (leaving.empty()) {
-        return names;
+        return upstreams;
     }
     for (const auto &[name, upstream] : declarations.upstreams()) {
         if (leaving.contains(upstream.address.host) || leaving.contains(toString(upstream.address))) {
-            names.insert(name);
+            upstreams.insert(name);
         }
     }
-    return names;
+    return upstreams;
 }
 
 PlatformList::PlatformList(EventLoop &loop, const std::string &source)
     : m_loop(loop)
     , m_source(source)
-    , m_poll(loop, [this] { read(); })
+    , m_pollTimer(loop, [this] { poll(); })
 {
-    m_poll.startEvery(PollInterval);
+    m_pollTimer.startEvery(PollInterval);
 }
 
-void PlatformList::read()
+void PlatformList::poll()
 {
     if (m_source.starts_with(HttpPrefix)) {
         fetch();
@@ -71,7 +71,7 @@
     std::ifstream file(m_source);
     std::stringstream content;
     content << file.rdbuf();
-    take(content.str());
+    handleContent(content.str());
 }
 
 void PlatformList::fetch()
@@ -79,11 +79,11 @@
     if (m_call) {
         return;
     }
-    const std::string rest = m_source.substr(HttpPrefix.size());
-    const std::size_t slash = rest.find('/');
-    const Result<Address> address = parseAddress(rest.substr(0, slash));
+    const std::string location = m_source.substr(HttpPrefix.size());
+    const std::size_t slash = location.find('/');
+    const Result<Address> address = parseAddress(location.substr(0, slash));
     if (!ok(address)) {
-        noteReadable(false);
+        setReadable(false);
         return;
     }
     m_body.clear();
@@ -92,7 +92,7 @@
                                                 .id = {},
                                                 .address = valueOf(address),
                                                 .method = "GET",
-                                                .target = slash == std::string::npos ? "/" : rest.substr(slash),
+                                                .target = slash == std::string::npos ? "/" : location.substr(slash),
                                                 .headers = {},
                                                 .body = {},
                                             },
@@ -100,19 +100,19 @@
     m_call->data().connect([this](std::string_view bytes) { m_body += bytes.substr(0, MaxListBytes - std::min(MaxListBytes, m_body.size())); });
     m_call->finished().connect([this] {
         m_call.reset();
-        take(m_body);
+        handleContent(m_body);
     });
     m_call->failed().connect([this](CallFailure) {
         m_call.reset();
-        noteReadable(false);
+        setReadable(false);
     });
     m_call->start();
 }
 
-void PlatformList::take(const std::string &json)
+void PlatformList::handleContent(const std::string &json)
 {
     Result<LeavingVms> list = parsePlatformList(json);
-    noteReadable(ok(list));
+    setReadable(ok(list));
     if (!ok(list) || valueOf(list) == m_leaving) {
         return;
     }
@@ -121,7 +121,7 @@
     m_changed.emit(m_leaving);
 }
 
-void PlatformList::noteReadable(bool readable)
+void PlatformList::setReadable(bool readable)
 {
     if (std::exchange(m_readable, readable) == readable) {
         return;
--- a/src/upstream/platformlist.h
+++ b/src/upstream/platformlist.h
@@ -13,21 +13,21 @@
 namespace cumindyke
 {
 
-/// Addresses of the VMs that the platform says are leaving: "HOST", or "HOST:PORT" for one process on it.
+/// Addresses of the VMs that are leaving according to the platform: "HOST", or "HOST:PORT" for a single process.
 using LeavingVms = std::set<std::string>;
 
-/// Reads {"vms":[{"address":…,"state":"live"|"leaving"}]}. Error: Invalid.
+/// Parses {"vms":[{"address":…,"state":"live"|"leaving"}]}. Error: Invalid.
 Result<LeavingVms> parsePlatformList(const std::string &json);
 
-/// The declared upstreams on leaving VMs.
-std::set<UpstreamName> leavingUpstreams(const LeavingVms &leaving, const Declarations &declarations);
+/// Returns the declared upstreams on leaving VMs.
+std::set<UpstreamName> drainingUpstreams(const LeavingVms &leaving, const Declarations &declarations);
 
-/// The platform's list, read again twice a second from a file or over HTTP. The list lags, so what is seen of an upstream counts besides
-/// (Availability). While it can't be read the last one stays in force. Used by one task, in its loop.
+/// The platform's list of VMs, polled twice a second from a file or over HTTP. The list lags, so the results of requests count as well (see
+/// Availability). While the list can't be read, the last one remains in force. Used by one task, in its event loop.
 class PlatformList
 {
 public:
-    /// A path, or "http://HOST:PORT/PATH".
+    /// "source" is a path, or "http://HOST:PORT/PATH".
     PlatformList(EventLoop &loop, const std::string &source);
 
     const LeavingVms &leaving() const
@@ -40,14 +40,14 @@
     }
 
 private:
-    void read();
+    void poll();
     void fetch();
-    void take(const std::string &json);
-    void noteReadable(bool readable);
+    void handleContent(const std::string &json);
+    void setReadable(bool readable);
 
     EventLoop &m_loop;
     const std::string m_source;
-    Timer m_poll;
+    Timer m_pollTimer;
     std::unique_ptr<UpstreamCall> m_call;
     std::string m_body;
     LeavingVms m_leaving;
--- a/src/upstream/resumablestream.cpp
+++ b/src/upstream/resumablestream.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::string_view EndMarker = "[DONE]";
 
-std::optional<std::uint64_t> numberOf(const StreamEvent &event)
+std::optional<std::uint64_t> eventNumber(const StreamEvent &event)
 {
     std::uint64_t number = 0;
     const char *end = event.id.data() + event.id.size();
@@ -23,31 +23,31 @@
 
 std::vector<StreamEvent> ResumableStream::feed(std::string_view bytes)
 {
-    std::vector<StreamEvent> fresh;
+    std::vector<StreamEvent> newEvents;
     for (StreamEvent &event : m_parser.feed(bytes)) {
-        if (broken() || m_ended || !isNew(event)) {
+        if (isBroken() || m_isComplete || !acceptEvent(event)) {
             continue;
         }
-        m_ended = event.data == EndMarker;
-        fresh.push_back(std::move(event));
+        m_isComplete = event.data == EndMarker;
+        newEvents.push_back(std::move(event));
     }
-    return fresh;
+    return newEvents;
 }
 
-bool ResumableStream::isNew(const StreamEvent &event)
+bool ResumableStream::acceptEvent(const StreamEvent &event)
 {
-    const std::optional<std::uint64_t> number = numberOf(event);
+    const std::optional<std::uint64_t> number = eventNumber(event);
     if (!number) {
-        if (m_repeats > 0) {
-            --m_repeats;
-            ++m_duplicates;
+        if (m_expectedRepeats > 0) {
+            --m_expectedRepeats;
+            ++m_duplicateCount;
             return false;
         }
-        ++m_unnumbered;
+        ++m_unnumberedCount;
         return true;
     }
     if (*number < m_offset) {
-        ++m_duplicates;
+        ++m_duplicateCount;
         return false;
     }
     if (*number > m_offset) {
@@ -55,16 +55,16 @@
         return false;
     }
     ++m_offset;
-    m_unnumbered = 0;
-    m_repeats = 0;
+    m_unnumberedCount = 0;
+    m_expectedRepeats = 0;
     return true;
 }
 
-void ResumableStream::reconnected()
+void ResumableStream::startConnection()
 {
     m_parser = {};
     m_broken = false;
-    m_repeats = m_unnumbered;
+    m_expectedRepeats = m_unnumberedCount;
 }
 
 }
--- a/src/upstream/resumablestream.h
+++ b/src/upstream/resumablestream.h
@@ -8,49 +8,50 @@
 namespace cumindyke
 {
 
-/// A model's event stream that may come over several connections, each continuing from offset(). Every event is handed on once.
+/// A model's event stream, received over one or more connections that each resume at offset(). Every event is returned once.
 ///
-/// Engines number the events of tokens from 0 ("id: N") and leave the closing ones (usage, end marker) without number. A resumed
-/// connection may repeat events, and a faulty one may leave some out: a caller would see doubled or missing words in an answer that
-/// looks whole. Numbers below offset() are dropped, numbers beyond it break the stream, and closing events already handed on are
-/// skipped by count; so what is handed on has neither gap nor repetition.
+/// Engines number the events of tokens from 0 ("id: N"); the closing events (usage, end marker) have no number. A resumed connection may
+/// repeat events and a faulty one may omit some, and a caller would see duplicate or missing words in an answer that looks complete.
+/// Events numbered below offset() are dropped, a number above it breaks the stream, and closing events returned before are skipped by
+/// count, so the returned events have neither gaps nor duplicates.
 class ResumableStream
 {
 public:
-    /// The events in these bytes that have not been handed on before.
+    /// Parses the next bytes of the current connection and returns the events that have not been returned before.
     std::vector<StreamEvent> feed(std::string_view bytes);
-    /// A new connection begins, asked to continue from offset().
-    void reconnected();
-    /// The number of the next event wanted.
+    /// Starts a new connection, which was requested to resume at offset().
+    void startConnection();
+    /// Number of the next expected event.
     std::uint64_t offset() const
     {
         return m_offset;
     }
-    /// The end marker came: the stream is whole.
-    bool ended() const
+    /// Whether the end marker was received.
+    bool isComplete() const
     {
-        return m_ended;
+        return m_isComplete;
     }
-    /// This connection left events out or sent one that is too large; a new connection may do better.
-    bool broken() const
+    /// Whether this connection omitted events or sent one that is too large. The stream can be resumed on a new connection.
+    bool isBroken() const
     {
-        return m_broken || m_parser.broken();
+        return m_broken || m_parser.isBroken();
     }
-    std::uint64_t duplicates() const
+    std::uint64_t duplicateCount() const
     {
-        return m_duplicates;
+        return m_duplicateCount;
     }
 
 private:
-    bool isNew(const StreamEvent &event);
+    /// Returns whether the event is the next one, and advances the stream past it.
+    bool acceptEvent(const StreamEvent &event);
 
     EventStreamParser m_parser;
     std::uint64_t m_offset = 0;
-    std::uint64_t m_duplicates = 0;
-    /// Unnumbered events handed on since the last numbered one, and how many of them this connection will repeat.
-    std::uint64_t m_unnumbered = 0;
-    std::uint64_t m_repeats = 0;
-    bool m_ended = false;
+    std::uint64_t m_duplicateCount = 0;
+    /// Unnumbered events returned since the last numbered one, and how many of them this connection is yet to repeat.
+    std::uint64_t m_unnumberedCount = 0;
+    std::uint64_t m_expectedRepeats = 0;
+    bool m_isComplete = false;
     bool m_broken = false;
 };
 
--- a/src/upstream/streamcanceller.cpp
+++ b/src/upstream/streamcanceller.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-/// Bounds the connections that a crowd of leaving callers can cost.
+/// Bounds the connections in use when many callers disconnect at once; further cancellations are skipped.
 constexpr std::size_t MaxCalls = 256;
 constexpr ProgressTimeouts CancelTimeouts{.connect = std::chrono::seconds(1), .firstByte = std::chrono::seconds(1), .betweenBytes = std::chrono::seconds(1)};
 
@@ -22,7 +22,7 @@
     if (m_calls.size() >= MaxCalls) {
         return;
     }
-    const std::uint64_t number = ++m_count;
+    const std::uint64_t number = ++m_lastCallNumber;
     auto call = std::make_unique<UpstreamCall>(m_loop,
                                                UpstreamRequest{
                                                    .id = id,
@@ -35,8 +35,8 @@
                                                CancelTimeouts);
     call->finished().connect([this, number] { m_calls.erase(number); });
     call->failed().connect([this, number](CallFailure) { m_calls.erase(number); });
-    UpstreamCall &started = *m_calls.emplace(number, std::move(call)).first->second;
-    started.start();
+    UpstreamCall &inserted = *m_calls.emplace(number, std::move(call)).first->second;
+    inserted.start();
 }
 
 }
--- a/src/upstream/streamcanceller.h
+++ b/src/upstream/streamcanceller.h
@@ -9,8 +9,8 @@
 namespace cumindyke
 {
 
-/// Tells upstreams to stop work that nobody waits for any more (DELETE /v1/streams/ID). Best effort: an order that is lost costs the
-/// upstream's work on that stream and nothing else. Used by one task, in its loop.
+/// Cancels streams at upstreams whose answers are no longer needed (DELETE /v1/streams/ID). Best effort: a lost call only costs the
+/// upstream's work on that stream. Used by one task, in its event loop.
 class StreamCanceller
 {
 public:
@@ -21,7 +21,7 @@
 private:
     EventLoop &m_loop;
     std::map<std::uint64_t, std::unique_ptr<UpstreamCall>> m_calls;
-    std::uint64_t m_count = 0;
+    std::uint64_t m_lastCallNumber = 0;
 };
 
 }
--- a/src/upstream/upstreamcall.cpp
+++ b/src/upstream/upstreamcall.cpp
@@ -17,7 +17,7 @@
 
 constexpr int MaxHeaderBytes = 64 << 10;
 
-evhttp_cmd_type commandOf(const std::string &method)
+evhttp_cmd_type libeventCommand(const std::string &method)
 {
     static const std::map<std::string, evhttp_cmd_type> Commands{
         {"GET", EVHTTP_REQ_GET},
@@ -32,7 +32,7 @@
     return found == Commands.end() ? EVHTTP_REQ_GET : found->second;
 }
 
-std::string headerOf(evhttp_request *request, const char *name)
+std::string responseHeader(evhttp_request *request, const char *name)
 {
     const char *value = evhttp_find_header(evhttp_request_get_input_headers(request), name);
     return value ? value : "";
@@ -40,8 +40,8 @@
 
 }
 
-/// libevent frees requests and connections inside its own callbacks, so this state holds itself alive until libevent is done
-/// with it: closing only detaches it, and the connection is freed from the loop, outside of any callback.
+/// libevent frees requests and connections inside its own callbacks, so this object must outlive them: close() hands a reference to the
+/// event loop, which frees the connection outside of any callback.
 class UpstreamCall::Private : public std::enable_shared_from_this<UpstreamCall::Private>
 {
 public:
@@ -49,7 +49,7 @@
         : m_loop(loop)
         , m_request(std::move(request))
         , m_timeouts(timeouts)
-        , m_timer(loop, [this] { timedOut(); })
+        , m_timer(loop, [this] { onTimeout(); })
     {
     }
 
@@ -72,14 +72,14 @@
 private:
     enum class Phase { Connecting, AwaitingHead, ReadingBody };
 
-    static void sent(evbuffer *buffer, const evbuffer_cb_info *info, void *self);
-    static int headCame(evhttp_request *request, void *self);
-    static void dataCame(evhttp_request *request, void *self);
-    static void ended(evhttp_request *request, void *self);
+    static void onSent(evbuffer *buffer, const evbuffer_cb_info *info, void *self);
+    static int onHead(evhttp_request *request, void *self);
+    static void onData(evhttp_request *request, void *self);
+    static void onEnd(evhttp_request *request, void *self);
 
-    void takeHead(evhttp_request *request);
-    void takeEnd(evhttp_request *request);
-    void timedOut();
+    void handleHead(evhttp_request *request);
+    void handleEnd(evhttp_request *request);
+    void onTimeout();
     void fail(CallFailure failure);
 
     EventLoop &m_loop;
@@ -88,24 +88,24 @@
     Timer m_timer;
     evhttp_connection *m_connection = nullptr;
     Phase m_phase = Phase::Connecting;
-    bool m_byteSent = false;
+    bool m_anyByteSent = false;
     bool m_closed = false;
     bool m_paused = false;
-    /// Whether the head tells where the body ends. One that ends with the connection can't be known to be whole.
-    bool m_endIsMarked = false;
+    /// Whether the head gives the end of the body. Otherwise the body ends with the connection and may be truncated.
+    bool m_bodyIsDelimited = false;
 };
 
 void UpstreamCall::Private::start()
 {
     m_connection = evhttp_connection_base_new(m_loop.base(), nullptr, m_request.address.host.c_str(), m_request.address.port);
     evhttp_connection_set_max_headers_size(m_connection, MaxHeaderBytes);
-    // The phases below have their own timeouts; libevent's would end a paused call.
+    // Every phase has its own timeout; libevent's would end a paused call.
     evhttp_connection_set_timeout(m_connection, 24 * 3600);
-    evbuffer_add_cb(bufferevent_get_output(evhttp_connection_get_bufferevent(m_connection)), &Private::sent, this);
+    evbuffer_add_cb(bufferevent_get_output(evhttp_connection_get_bufferevent(m_connection)), &Private::onSent, this);
 
-    evhttp_request *request = evhttp_request_new(&Private::ended, this);
-    evhttp_request_set_header_cb(request, &Private::headCame);
-    evhttp_request_set_chunked_cb(request, &Private::dataCame);
+    evhttp_request *request = evhttp_request_new(&Private::onEnd, this);
+    evhttp_request_set_header_cb(request, &Private::onHead);
+    evhttp_request_set_chunked_cb(request, &Private::onData);
     evkeyvalq *headers = evhttp_request_get_output_headers(request);
     evhttp_add_header(headers, "Host", m_request.host.empty() ? toString(m_request.address).c_str() : m_request.host.c_str());
     evhttp_add_header(headers, m_request.idHeader.c_str(), m_request.id.value.c_str());
@@ -118,8 +118,8 @@
     }
     m_timer.startOnce(m_timeouts.connect);
     const auto self = shared_from_this();
-    if (evhttp_make_request(m_connection, request, commandOf(m_request.method), m_request.target.c_str()) != 0 && !m_closed) {
-        fail(m_byteSent ? CallFailure::Lost : CallFailure::NotSent);
+    if (evhttp_make_request(m_connection, request, libeventCommand(m_request.method), m_request.target.c_str()) != 0 && !m_closed) {
+        fail(m_anyByteSent ? CallFailure::Lost : CallFailure::NotSent);
     }
 }
 
@@ -130,7 +130,7 @@
     }
     m_closed = true;
     m_timer.stop();
-    // Held by the loop until the present callback has returned; then the last reference frees the connection.
+    // The loop keeps the reference until the current callback has returned; releasing the last one frees the connection.
     m_loop.releaseLater(shared_from_this());
 }
 
@@ -150,26 +150,26 @@
     }
 }
 
-void UpstreamCall::Private::sent(evbuffer * /*buffer*/, const evbuffer_cb_info *info, void *self)
+void UpstreamCall::Private::onSent(evbuffer * /*buffer*/, const evbuffer_cb_info *info, void *self)
 {
     auto *call = static_cast<Private *>(self);
-    if (info->n_deleted == 0 || call->m_byteSent) {
+    if (info->n_deleted == 0 || call->m_anyByteSent) {
         return;
     }
-    call->m_byteSent = true;
+    call->m_anyByteSent = true;
     if (call->m_phase == Phase::Connecting && !call->m_closed) {
         call->m_phase = Phase::AwaitingHead;
         call->m_timer.startOnce(call->m_timeouts.firstByte);
     }
 }
 
-int UpstreamCall::Private::headCame(evhttp_request *request, void *self)
+int UpstreamCall::Private::onHead(evhttp_request *request, void *self)
 {
-    static_cast<Private *>(self)->takeHead(request);
+    static_cast<Private *>(self)->handleHead(request);
     return 0;
 }
 
-void UpstreamCall::Private::dataCame(evhttp_request *request, void *self)
+void UpstreamCall::Private::onData(evhttp_request *request, void *self)
 {
     const auto call = static_cast<Private *>(self)->shared_from_this();
     if (call->m_closed) {
@@ -182,46 +182,46 @@
     call->m_dataSignal.emit(std::string_view(bytes, length));
 }
 
-void UpstreamCall::Private::ended(evhttp_request *request, void *self)
+void UpstreamCall::Private::onEnd(evhttp_request *request, void *self)
 {
     const auto call = static_cast<Private *>(self)->shared_from_this();
     if (!call->m_closed) {
-        call->takeEnd(request);
+        call->handleEnd(request);
     }
 }
 
-void UpstreamCall::Private::takeHead(evhttp_request *request)
+void UpstreamCall::Private::handleHead(evhttp_request *request)
 {
     if (m_closed) {
         return;
     }
     const auto self = shared_from_this();
-    // An upstream that mixes up its connections answers with somebody else's words: never pass them on.
-    const std::string echoed = headerOf(request, m_request.idHeader.c_str());
+    // An upstream that mixes up its connections returns another caller's answer, which must not be passed on.
+    const std::string echoed = responseHeader(request, m_request.idHeader.c_str());
     if (!echoed.empty() && echoed != m_request.id.value) {
-        fail(CallFailure::WrongAnswer);
+        fail(CallFailure::MismatchedId);
         return;
     }
     m_phase = Phase::ReadingBody;
     m_timer.startOnce(m_timeouts.betweenBytes);
-    AnswerHead head{.status = evhttp_request_get_response_code(request), .contentType = headerOf(request, "Content-Type"), .headers = {}};
+    AnswerHead head{.status = evhttp_request_get_response_code(request), .contentType = responseHeader(request, "Content-Type"), .headers = {}};
     const evkeyvalq *headers = evhttp_request_get_input_headers(request);
     for (const evkeyval *header = headers->tqh_first; header; header = header->next.tqe_next) {
         head.headers.emplace_back(header->key, header->value);
     }
     const bool hasNoBody = head.status == 204 || head.status == 304 || m_request.method == "HEAD";
-    m_endIsMarked = hasNoBody || !headerOf(request, "Content-Length").empty() || !headerOf(request, "Transfer-Encoding").empty();
+    m_bodyIsDelimited = hasNoBody || !responseHeader(request, "Content-Length").empty() || !responseHeader(request, "Transfer-Encoding").empty();
     m_headSignal.emit(head);
 }
 
-void UpstreamCall::Private::takeEnd(evhttp_request *request)
+void UpstreamCall::Private::handleEnd(evhttp_request *request)
 {
-    const bool answered = request && evhttp_request_get_response_code(request) != 0;
-    if (!answered) {
-        fail(m_byteSent ? CallFailure::Lost : CallFailure::NotSent);
+    const bool hasResponse = request && evhttp_request_get_response_code(request) != 0;
+    if (!hasResponse) {
+        fail(m_anyByteSent ? CallFailure::Lost : CallFailure::NotSent);
         return;
     }
-    if (!m_endIsMarked && !m_request.allowsCloseDelimitedBody) {
+    if (!m_bodyIsDelimited && !m_request.allowsCloseDelimitedBody) {
         fail(CallFailure::Lost);
         return;
     }
@@ -229,10 +229,10 @@
     m_finishedSignal.emit();
 }
 
-void UpstreamCall::Private::timedOut()
+void UpstreamCall::Private::onTimeout()
 {
     if (!m_closed) {
-        fail(m_byteSent ? CallFailure::TimedOut : CallFailure::NotSent);
+        fail(m_anyByteSent ? CallFailure::TimedOut : CallFailure::NotSent);
     }
 }
 
--- a/src/upstream/upstreamcall.h
+++ b/src/upstream/upstreamcall.h
@@ -22,7 +22,7 @@
 
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
-/// What is sent to an upstream.
+/// An HTTP request to an upstream.
 struct UpstreamRequest
 {
     RequestId id;
@@ -33,11 +33,11 @@
     std::string target;
     HeaderList headers;
     std::string body;
-    /// The Host header; the address when empty.
+    /// The Host header; empty: the address.
     std::string host = {};
-    /// The header that carries the id, and in which the upstream echoes it.
+    /// The header that carries the request's id, and in which the upstream echoes it.
     std::string idHeader = "X-Request-Id";
-    /// An answer without a length counts as whole when its connection ends in order, not by a reset.
+    /// Accepts an answer without a length as complete when its connection is closed in order, not by a reset.
     bool allowsCloseDelimitedBody = false;
 };
 
@@ -48,14 +48,15 @@
     HeaderList headers;
 };
 
-/// Why a call has no whole answer.
+/// Why a call got no complete answer.
 enum class CallFailure {
     NotSent, ///< no byte of the request left this process, so the upstream can't have run it
-    Lost, ///< the connection ended, or its answer was not whole
-    TimedOut, ///< no progress for the time allowed
-    WrongAnswer, ///< the answer carries another request's id
+    Lost, ///< the connection was closed before the end of the answer
+    TimedOut, ///< no progress within the timeout
+    MismatchedId, ///< the answer has the id of another request
 };
 
+/// Longest times without progress in the phases of a call.
 struct ProgressTimeouts
 {
     Duration connect = std::chrono::seconds(1);
@@ -63,9 +64,10 @@
     Duration betweenBytes = std::chrono::seconds(10);
 };
 
-/// One HTTP call to an upstream, on a connection of its own. Used by one task, in its loop.
+/// One HTTP call to an upstream, on its own connection. Used by one task, in its event loop.
 ///
-/// Exactly one of finished and failed is emitted, once, and nothing after it or after cancel(). A slot may cancel or destroy the call.
+/// Exactly one of finished() and failed() is emitted, once, unless cancel() is called; no signal follows any of these. A slot may cancel or
+/// destroy the call.
 class UpstreamCall
 {
 public:
@@ -75,9 +77,9 @@
     UpstreamCall &operator=(const UpstreamCall &) = delete;
 
     void start();
-    /// Closes the connection; no signal follows.
+    /// Closes the connection. No signal is emitted afterwards.
     void cancel();
-    /// Stops and restarts reading, for a caller that reads slowly.
+    /// Pauses or resumes reading, to match a caller that reads slowly.
     void setPaused(bool paused);
 
     sigc::signal<void, const AnswerHead &> &head();
--- a/tests/upstream/availabilitytest.cpp
+++ b/tests/upstream/availabilitytest.cpp
@@ -13,46 +13,46 @@
 
 }
 
-TEST_CASE("the first refusal keeps new work away and one trial at a time brings it back")
+TEST_CASE("an upstream is ejected at its first refusal and readmitted by one probe at a time")
 {
     Availability availability;
     CHECK(availability.isUsable(Runner, Start));
-    availability.refused(Runner, Start);
+    availability.recordRefusal(Runner, Start);
     CHECK_FALSE(availability.isUsable(Runner, Start));
-    CHECK(availability.unusable(Start) == std::set<UpstreamName>{Runner});
+    CHECK(availability.unusableUpstreams(Start) == std::set<UpstreamName>{Runner});
     const TimePoint later = Start + 500ms;
     REQUIRE(availability.isUsable(Runner, later));
-    availability.granted(Runner, later);
+    availability.recordDispatch(Runner, later);
     CHECK_FALSE(availability.isUsable(Runner, later));
-    availability.took(Runner);
+    availability.recordAcceptance(Runner);
     CHECK(availability.isUsable(Runner, later));
 }
 
-TEST_CASE("pauses double with each failed trial, up to 15 s, and a burst of refusals is one sign")
+TEST_CASE("ejection times double with each refused probe, up to 15 s, and a burst of refusals counts once")
 {
     Availability availability;
     TimePoint now = Start;
-    Duration expected = 500ms;
-    availability.refused(Runner, now);
-    for (int trial = 0; trial < 10; ++trial) {
+    Duration expectedEjectionTime = 500ms;
+    availability.recordRefusal(Runner, now);
+    for (int probe = 0; probe < 10; ++probe) {
         for (int refusal = 0; refusal < 20; ++refusal) {
-            availability.refused(Runner, now);
+            availability.recordRefusal(Runner, now);
         }
-        CHECK_FALSE(availability.isUsable(Runner, now + expected - 1us));
-        REQUIRE(availability.isUsable(Runner, now + expected));
-        now += expected;
-        availability.granted(Runner, now);
-        availability.refused(Runner, now);
-        expected = std::min<Duration>(expected * 2, 15s);
+        CHECK_FALSE(availability.isUsable(Runner, now + expectedEjectionTime - 1us));
+        REQUIRE(availability.isUsable(Runner, now + expectedEjectionTime));
+        now += expectedEjectionTime;
+        availability.recordDispatch(Runner, now);
+        availability.recordRefusal(Runner, now);
+        expectedEjectionTime = std::min<Duration>(expectedEjectionTime * 2, 15s);
     }
 }
 
-TEST_CASE("an upstream that the platform says is leaving gets nothing, however well it answers")
+TEST_CASE("a draining upstream gets no work even when it accepts requests")
 {
     Availability availability;
-    availability.setLeaving({Runner});
-    availability.took(Runner);
+    availability.setDraining({Runner});
+    availability.recordAcceptance(Runner);
     CHECK_FALSE(availability.isUsable(Runner, Start));
-    availability.setLeaving({});
+    availability.setDraining({});
     CHECK(availability.isUsable(Runner, Start));
 }
--- a/tests/upstream/eventstreamtest.cpp
+++ b/tests/upstream/eventstreamtest.cpp
@@ -16,7 +16,7 @@
 
 }
 
-TEST_CASE("events are the same wherever the body is split")
+TEST_CASE("parsed events do not depend on how the body is split")
 {
     for (std::size_t length = 1; length <= Body.size(); ++length) {
         EventStreamParser parser;
@@ -30,7 +30,7 @@
     }
 }
 
-TEST_CASE("an event goes out as it came in")
+TEST_CASE("a serialized event parses to the same event")
 {
     for (const StreamEvent &event : Events) {
         EventStreamParser parser;
@@ -38,20 +38,20 @@
     }
 }
 
-TEST_CASE("an event without end breaks the stream instead of filling the memory")
+TEST_CASE("an event without end breaks the stream and does not exhaust memory")
 {
     EventStreamParser parser;
     const std::string piece(64 << 10, 'x');
-    for (int i = 0; i < 100 && !parser.broken(); ++i) {
+    for (int i = 0; i < 100 && !parser.isBroken(); ++i) {
         CHECK(parser.feed(i == 0 ? "data: " + piece : piece).empty());
     }
-    CHECK(parser.broken());
+    CHECK(parser.isBroken());
     CHECK(parser.feed("\n\ndata: late\n\n").empty());
 }
 
-// Found by fuzzing (corpus eventstream/lone-carriage-return): a line that ended in two carriage returns kept one in its data, and the caller
-// was handed an event that read differently from the engine's. A carriage return ends a line by itself.
-TEST_CASE("a lone carriage return ends a line and never stands in an event")
+// Found by fuzzing (corpus eventstream/lone-carriage-return): a line that ended in two carriage returns kept one in its data, so the caller
+// got an event that differs from the engine's. A carriage return alone ends a line.
+TEST_CASE("a lone carriage return ends a line and is not part of an event")
 {
     EventStreamParser parser;
     const std::vector<StreamEvent> expected{{.id = "", .name = "", .data = "one\ntwo"}};
--- a/tests/upstream/resumablestreamtest.cpp
+++ b/tests/upstream/resumablestreamtest.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// A stream of tokens, a closing event and the end marker, as an engine sends it from an offset.
+/// Returns the rest of an engine's stream from an offset: tokens, a closing event and the end marker.
 std::string streamFrom(std::uint64_t offset, std::uint64_t tokens)
 {
     std::string body;
@@ -19,10 +19,10 @@
     return body + "data: usage\n\ndata: [DONE]\n\n";
 }
 
-void feedInto(ResumableStream &stream, std::string_view bytes, std::vector<std::string> &taken)
+void feedStream(ResumableStream &stream, std::string_view bytes, std::vector<std::string> &received)
 {
     for (const StreamEvent &event : stream.feed(bytes)) {
-        taken.push_back(event.data);
+        received.push_back(event.data);
     }
 }
 
@@ -38,46 +38,46 @@
 
 }
 
-// The caller sees one whole answer. Connections end at any byte and each new one starts at the offset asked for or some events before
-// it, because an engine may round the offset down; events must be neither doubled nor lost, the unnumbered closing ones included.
-TEST_CASE("a stream cut at any byte and resumed is handed on once and whole")
+// Guards against duplicate and missing events, the unnumbered closing ones included. Connections end at any byte, and each new one starts
+// at the requested offset or some events before it, since an engine may round the offset down.
+TEST_CASE("a stream cut at any byte and resumed yields every event once")
 {
     constexpr std::uint64_t Tokens = 12;
     for (std::uint64_t seed = 1; seed <= 2000; ++seed) {
         INFO("seed " << seed);
         std::mt19937_64 random(seed);
         ResumableStream stream;
-        std::vector<std::string> taken;
-        for (int connection = 0; !stream.ended(); ++connection) {
+        std::vector<std::string> received;
+        for (int connection = 0; !stream.isComplete(); ++connection) {
             REQUIRE(connection < 1000);
             if (connection > 0) {
-                stream.reconnected();
+                stream.startConnection();
             }
-            const std::uint64_t early = std::min(stream.offset(), random() % 3);
-            const std::string body = streamFrom(stream.offset() - early, Tokens);
-            feedInto(stream, std::string_view(body).substr(0, random() % (body.size() + 1)), taken);
+            const std::uint64_t overlap = std::min(stream.offset(), random() % 3);
+            const std::string body = streamFrom(stream.offset() - overlap, Tokens);
+            feedStream(stream, std::string_view(body).substr(0, random() % (body.size() + 1)), received);
         }
-        REQUIRE(taken == wholeAnswer(Tokens));
+        REQUIRE(received == wholeAnswer(Tokens));
     }
 }
 
-TEST_CASE("a gap breaks the connection's stream and a new connection mends it")
+TEST_CASE("a gap breaks the stream, and a new connection resumes it")
 {
     ResumableStream stream;
-    std::vector<std::string> taken;
-    feedInto(stream, "id: 0\ndata: token0\n\nid: 2\ndata: token2\n\ndata: [DONE]\n\n", taken);
-    CHECK(stream.broken());
-    CHECK_FALSE(stream.ended());
-    stream.reconnected();
-    feedInto(stream, streamFrom(stream.offset(), 3), taken);
-    CHECK(stream.ended());
-    CHECK(taken == wholeAnswer(3));
+    std::vector<std::string> received;
+    feedStream(stream, "id: 0\ndata: token0\n\nid: 2\ndata: token2\n\ndata: [DONE]\n\n", received);
+    CHECK(stream.isBroken());
+    CHECK_FALSE(stream.isComplete());
+    stream.startConnection();
+    feedStream(stream, streamFrom(stream.offset(), 3), received);
+    CHECK(stream.isComplete());
+    CHECK(received == wholeAnswer(3));
 }
 
-TEST_CASE("nothing is handed on after the end marker")
+TEST_CASE("no events are returned after the end marker")
 {
     ResumableStream stream;
-    std::vector<std::string> taken;
-    feedInto(stream, streamFrom(0, 1) + streamFrom(0, 1), taken);
-    CHECK(taken == wholeAnswer(1));
+    std::vector<std::string> received;
+    feedStream(stream, streamFrom(0, 1) + streamFrom(0, 1), received);
+    CHECK(received == wholeAnswer(1));
 }
