--- a/src/daemon/settingswatch.h
+++ b/src/daemon/settingswatch.h
@@ -13,7 +13,7 @@
 {
 public:
     /// How often to look: a change without a signal is noticed within this.
-    static constexpr int IntervalSeconds = 1;
+    static constexpr int PollIntervalSeconds = 1;
 
     /// Empty: no file, so nothing ever changes.
     explicit SettingsWatch(std::string file);
--- a/src/main/cumindyked.cpp
+++ b/src/main/cumindyked.cpp
@@ -48,7 +48,7 @@
 /// nothing: the daemon goes on with what it has.
 void waitForShutdown(const sigset_t &signals, SettingsWatch &watch, Daemon &daemon)
 {
-    const timespec interval{.tv_sec = SettingsWatch::IntervalSeconds, .tv_nsec = 0};
+    const timespec interval{.tv_sec = SettingsWatch::PollIntervalSeconds, .tv_nsec = 0};
     while (true) {
         const int number = sigtimedwait(&signals, nullptr, &interval);
         if (number == SIGTERM || number == SIGINT) {
