--- a/src/report/burn.cpp
+++ b/src/report/burn.cpp
@@ -14,24 +14,25 @@
 
 using Json = nlohmann::ordered_json;
 
-constexpr std::int64_t BudgetMs = 30 * 24 * HourMs;
+constexpr std::int64_t BudgetWindowMs = 30 * 24 * HourMs;
 
-double burnRate(std::uint64_t bad, std::uint64_t all, double allowed)
+double burnRate(std::uint64_t missed, std::uint64_t total, double allowedMissRatio)
 {
-    return all == 0 || allowed <= 0 ? 0 : static_cast<double>(bad) / static_cast<double>(all) / allowed;
+    return total == 0 || allowedMissRatio <= 0 ? 0 : static_cast<double>(missed) / static_cast<double>(total) / allowedMissRatio;
 }
 
-/// The burn rates of one kind of objective, by window, and which alerts fire.
-Json burnOf(const BurnSeries &series,
-            const ServiceTier &of,
-            double allowed,
-            std::uint64_t BurnCounts::*bad,
-            std::uint64_t (*all)(const BurnCounts &),
-            WallTime now)
+/// Returns the burn rates of one kind of objective by window, its firing alerts and its remaining budget. Without a "missed" member, all
+/// requests that were not on time count as missed.
+Json objectiveBurnJson(const BurnSeries &series,
+                       const ServiceTier &serviceTier,
+                       double allowedMissRatio,
+                       std::uint64_t BurnCounts::*missed,
+                       std::uint64_t (*totalOf)(const BurnCounts &),
+                       WallTime now)
 {
-    const auto rate = [&](std::int64_t lengthMs) {
-        const BurnCounts sum = series.sum(of, now, lengthMs);
-        return burnRate(bad ? sum.*bad : sum.notOnTime(), all(sum), allowed);
+    const auto rate = [&](std::int64_t windowMs) {
+        const BurnCounts sum = series.sum(serviceTier, now, windowMs);
+        return burnRate(missed ? sum.*missed : sum.notOnTime(), totalOf(sum), allowedMissRatio);
     };
     Json rates = Json::object();
     for (const BurnWindow &window : BurnWindows) {
@@ -43,23 +44,23 @@
             alerts.push_back({{"severity", alert.severity}, {"long_window", alert.longWindow}, {"short_window", alert.shortWindow}});
         }
     }
-    return Json{{"allowed", allowed}, {"burn_rate", rates}, {"budget_left", 1 - rate(BudgetMs)}, {"alerts", alerts}};
+    return Json{{"allowed", allowedMissRatio}, {"burn_rate", rates}, {"budget_left", 1 - rate(BudgetWindowMs)}, {"alerts", alerts}};
 }
 
-Json countsOf(const BurnCounts &counts)
+Json countsJson(const BurnCounts &counts)
 {
     return Json{{"on_time", counts.onTime}, {"late", counts.late}, {"failed", counts.failed}, {"refused", counts.refused}, {"unknown", counts.unknown}};
 }
 
-Json seriesOf(const std::deque<BurnBucket> &buckets, const ServiceTier &of, double allowed)
+Json seriesJson(const std::deque<BurnBucket> &buckets, const ServiceTier &serviceTier, double allowedMissRatio)
 {
     Json points = Json::array();
     for (const BurnBucket &bucket : buckets) {
-        const auto found = bucket.counts.find(of);
+        const auto found = bucket.counts.find(serviceTier);
         const BurnCounts counts = found == bucket.counts.end() ? BurnCounts{} : found->second;
         points.push_back({{"start_ms", bucket.start.value},
-                          {"burn_rate", burnRate(counts.notOnTime(), counts.all(), allowed)},
-                          {"requests", counts.all()},
+                          {"burn_rate", burnRate(counts.notOnTime(), counts.total(), allowedMissRatio)},
+                          {"requests", counts.total()},
                           {"refused", counts.refused}});
     }
     return points;
@@ -67,27 +68,27 @@
 
 Json objectiveJson(const Service &service, const Objective &objective, const Tier &tier, const BurnSeries &series, WallTime now)
 {
-    const ServiceTier of{service.name, tier.rank};
-    const auto all = [](const BurnCounts &counts) { return counts.all(); };
+    const ServiceTier serviceTier{service.name, tier.rank};
+    const auto total = [](const BurnCounts &counts) { return counts.total(); };
     const auto sent = [](const BurnCounts &counts) { return counts.sent; };
-    const double allowed = 1 - objective.onTimeShare;
+    const double allowedMissRatio = 1 - objective.onTimeShare;
     Json json{{"service", service.name.value},
               {"tier", tier.name.value},
               {"on_time_share", objective.onTimeShare},
               {"first_token_ms", objective.firstToken.count()},
               {"between_tokens_ms", objective.betweenTokens.count()},
-              {"last_hour", countsOf(series.sum(of, now, HourMs))},
-              {"on_time", burnOf(series, of, allowed, nullptr, all, now)}};
+              {"last_hour", countsJson(series.sum(serviceTier, now, HourMs))},
+              {"on_time", objectiveBurnJson(series, serviceTier, allowedMissRatio, nullptr, total, now)}};
     if (service.kind == ServiceKind::Model) {
-        json["first_token"] = burnOf(series, of, TimingAllowance, &BurnCounts::firstTokenLate, sent, now);
-        json["between_tokens"] = burnOf(series, of, TimingAllowance, &BurnCounts::tokensSlow, sent, now);
+        json["first_token"] = objectiveBurnJson(series, serviceTier, AllowedTimingMissRatio, &BurnCounts::firstTokenLate, sent, now);
+        json["between_tokens"] = objectiveBurnJson(series, serviceTier, AllowedTimingMissRatio, &BurnCounts::tokensSlow, sent, now);
     }
-    json["minutes"] = seriesOf(series.minutes(), of, allowed);
-    json["hours"] = seriesOf(series.hours(), of, allowed);
+    json["minutes"] = seriesJson(series.minutes(), serviceTier, allowedMissRatio);
+    json["hours"] = seriesJson(series.hours(), serviceTier, allowedMissRatio);
     return json;
 }
 
-std::string escaped(const std::string &text)
+std::string htmlEscaped(const std::string &text)
 {
     std::string safe;
     for (const char letter : text) {
@@ -111,7 +112,7 @@
     return safe;
 }
 
-std::string rounded(double value)
+std::string withTwoDecimals(double value)
 {
     std::ostringstream text;
     text << std::fixed << std::setprecision(2) << value;
@@ -120,10 +121,10 @@
 
 constexpr double PlotWidth = 720;
 constexpr double PlotHeight = 120;
-/// Burn rates over this are drawn at the top: it is the fastest alert's threshold and a third more.
-constexpr double PlotTop = 20;
+/// Higher burn rates are clipped. A third above the highest alert threshold.
+constexpr double MaxPlottedBurnRate = 20;
 
-/// Places times of the series on the plot.
+/// Maps times of the series to the x coordinate of the plot.
 struct TimeAxis
 {
     double from = 0;
@@ -135,21 +136,21 @@
     }
 };
 
-double y(double rate)
+double plotY(double rate)
 {
-    return PlotHeight - std::min(rate, PlotTop) / PlotTop * PlotHeight;
+    return PlotHeight - std::min(rate, MaxPlottedBurnRate) / MaxPlottedBurnRate * PlotHeight;
 }
 
-/// The burn rate as a line, refusals as marks at the foot, moves as lines from top to bottom with their state as a title.
+/// Returns an SVG plot: the burn rate as a polyline, refusals as marks at the bottom, moves as vertical lines with their state as title.
 std::string plot(const Json &points, const Json &moves, const std::string &service, std::int64_t now)
 {
     const TimeAxis axis{.from = points.empty() ? 0 : points.front()["start_ms"].get<double>(), .to = static_cast<double>(now)};
     std::ostringstream svg;
     svg << "<svg viewBox=\"0 0 " << PlotWidth << " " << PlotHeight << "\" role=\"img\"><rect class=\"frame\" width=\"" << PlotWidth << "\" height=\""
-        << PlotHeight << "\"/><line class=\"one\" x1=\"0\" x2=\"" << PlotWidth << "\" y1=\"" << y(1) << "\" y2=\"" << y(1)
+        << PlotHeight << "\"/><line class=\"one\" x1=\"0\" x2=\"" << PlotWidth << "\" y1=\"" << plotY(1) << "\" y2=\"" << plotY(1)
         << "\"/><polyline class=\"burn\" points=\"";
     for (const Json &point : points) {
-        svg << axis.x(point["start_ms"].get<double>()) << "," << y(point["burn_rate"].get<double>()) << " ";
+        svg << axis.x(point["start_ms"].get<double>()) << "," << plotY(point["burn_rate"].get<double>()) << " ";
     }
     svg << "\"/>";
     for (const Json &point : points) {
@@ -165,7 +166,7 @@
         for (const char *time : {"started_ms", "state_since_ms"}) {
             const double x = axis.x(move[time].get<double>());
             svg << "<line class=\"move\" x1=\"" << x << "\" x2=\"" << x << "\" y1=\"0\" y2=\"" << PlotHeight << "\"><title>"
-                << escaped(move["name"].get<std::string>() + ": " + move["state"].get<std::string>() + ", " + move["reason"].get<std::string>())
+                << htmlEscaped(move["name"].get<std::string>() + ": " + move["state"].get<std::string>() + ", " + move["reason"].get<std::string>())
                 << "</title></line>";
         }
     }
@@ -173,7 +174,7 @@
     return svg.str();
 }
 
-constexpr const char *PageHead = R"(<!doctype html>
+constexpr const char *PageHeader = R"(<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Service-level burn</title><style>
 body{font:15px sans-serif;margin:2em;max-width:760px}svg{width:100%;height:auto}
 .frame{fill:#fff;stroke:#999}.one{stroke:#999;stroke-dasharray:4}.burn{fill:none;stroke:#06c;stroke-width:1.5}
@@ -182,7 +183,7 @@
 <p>A burn rate of 1 (dashed) uses up the budget in 30 days. Green lines: moves. Orange marks: refusals.</p>
 )";
 
-std::string rateTable(const Json &objective)
+std::string burnRateTable(const Json &objective)
 {
     std::ostringstream table;
     table << "<table><tr><th></th>";
@@ -196,9 +197,9 @@
         }
         table << "<tr><th>" << kind << "</th>";
         for (const BurnWindow &window : BurnWindows) {
-            table << "<td>" << rounded(objective[kind]["burn_rate"][window.name].get<double>()) << "</td>";
+            table << "<td>" << withTwoDecimals(objective[kind]["burn_rate"][window.name].get<double>()) << "</td>";
         }
-        table << "<td>" << rounded(100 * objective[kind]["budget_left"].get<double>()) << "%</td><td>";
+        table << "<td>" << withTwoDecimals(100 * objective[kind]["budget_left"].get<double>()) << "%</td><td>";
         for (const Json &alert : objective[kind]["alerts"]) {
             table << alert["severity"].get<std::string>() << " ";
         }
@@ -208,7 +209,7 @@
     return table.str();
 }
 
-/// The part of a window's requests that were not on time, as a Prometheus expression.
+/// Returns a Prometheus expression for the ratio of requests in a window that were not on time.
 std::string missedRatio(const std::string &labels, const char *window)
 {
     std::ostringstream expression;
@@ -217,14 +218,14 @@
     return expression.str();
 }
 
-/// Runs a rendering over parsed JSON; anything that is missing or of another type makes it no burn report.
+/// Parses the JSON and formats it. A missing field or one of another type is an Invalid error.
 template<typename Render>
-Result<std::string> rendered(const std::string &text, Render render)
+Result<std::string> renderReport(const std::string &text, Render render)
 {
     try {
         return render(Json::parse(text));
     } catch (const nlohmann::json::exception &) {
-        return Error{ErrorKind::Invalid, "the burn report can't be read: use the cumindykectl that belongs to the daemon"};
+        return Error{ErrorKind::Invalid, "the burn report can't be parsed: use the cumindykectl of the daemon's version"};
     }
 }
 
@@ -240,22 +241,22 @@
             }
         }
     }
-    Json listed = Json::array();
+    Json movesJson = Json::array();
     for (const Move &move : moves) {
-        listed.push_back({{"name", move.name.value},
-                          {"service", move.service.value},
-                          {"to", move.to.value},
-                          {"state", toString(move.state)},
-                          {"started_ms", move.started.value},
-                          {"state_since_ms", move.stateSince.value},
-                          {"reason", move.reason}});
+        movesJson.push_back({{"name", move.name.value},
+                             {"service", move.service.value},
+                             {"to", move.to.value},
+                             {"state", toString(move.state)},
+                             {"started_ms", move.started.value},
+                             {"state_since_ms", move.stateSince.value},
+                             {"reason", move.reason}});
     }
-    return Json{{"now_ms", now.value}, {"objectives", objectives}, {"moves", listed}}.dump();
+    return Json{{"now_ms", now.value}, {"objectives", objectives}, {"moves", movesJson}}.dump();
 }
 
 Result<std::string> burnText(const std::string &json)
 {
-    return rendered(json, [](const Json &report) {
+    return renderReport(json, [](const Json &report) {
         std::ostringstream text;
         for (const Json &objective : report["objectives"]) {
             text << objective["service"].get<std::string>() << " " << objective["tier"].get<std::string>() << "\n";
@@ -265,9 +266,9 @@
                 }
                 text << "  " << kind << ": burn rate";
                 for (const BurnWindow &window : BurnWindows) {
-                    text << " " << window.name << " " << rounded(objective[kind]["burn_rate"][window.name].get<double>());
+                    text << " " << window.name << " " << withTwoDecimals(objective[kind]["burn_rate"][window.name].get<double>());
                 }
-                text << ", " << rounded(100 * objective[kind]["budget_left"].get<double>()) << "% of the budget left";
+                text << ", " << withTwoDecimals(100 * objective[kind]["budget_left"].get<double>()) << "% of the budget left";
                 for (const Json &alert : objective[kind]["alerts"]) {
                     text << ", " << alert["severity"].get<std::string>();
                 }
@@ -283,13 +284,13 @@
 
 Result<std::string> burnHtml(const std::string &json)
 {
-    return rendered(json, [](const Json &report) {
+    return renderReport(json, [](const Json &report) {
         std::ostringstream page;
-        page << PageHead;
+        page << PageHeader;
         const auto now = report["now_ms"].get<std::int64_t>();
         for (const Json &objective : report["objectives"]) {
             const auto service = objective["service"].get<std::string>();
-            page << "<h2>" << escaped(service) << ", tier " << escaped(objective["tier"].get<std::string>()) << "</h2>\n" << rateTable(objective);
+            page << "<h2>" << htmlEscaped(service) << ", tier " << htmlEscaped(objective["tier"].get<std::string>()) << "</h2>\n" << burnRateTable(objective);
             page << "<h3>Last hours, by the minute</h3>\n" << plot(objective["minutes"], report["moves"], service, now);
             page << "<h3>Last month, by the hour</h3>\n" << plot(objective["hours"], report["moves"], service, now);
         }
@@ -306,9 +307,9 @@
         for (const Objective &objective : service.objectives) {
             const std::string labels = "service=\"" + name.value + "\",tier=\"" + objective.tier.value + "\"";
             for (const BurnAlert &alert : BurnAlerts) {
-                const std::string limit = std::to_string(alert.threshold) + " * (1 - " + std::to_string(objective.onTimeShare) + ")";
-                yaml << "  - alert: ServiceLevelBurn\n    expr: " << missedRatio(labels, alert.longWindow) << " > " << limit << " and "
-                     << missedRatio(labels, alert.shortWindow) << " > " << limit << "\n    labels:\n      severity: " << alert.severity
+                const std::string maxMissedRatio = std::to_string(alert.threshold) + " * (1 - " + std::to_string(objective.onTimeShare) + ")";
+                yaml << "  - alert: ServiceLevelBurn\n    expr: " << missedRatio(labels, alert.longWindow) << " > " << maxMissedRatio << " and "
+                     << missedRatio(labels, alert.shortWindow) << " > " << maxMissedRatio << "\n    labels:\n      severity: " << alert.severity
                      << "\n      service: " << name.value << "\n      tier: " << objective.tier.value << "\n      window: " << alert.longWindow
                      << "\n    annotations:\n      summary: "
                      << "\"" << name.value << " burns the budget of tier " << objective.tier.value << " over " << alert.threshold
--- a/src/report/burn.h
+++ b/src/report/burn.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-/// Service-level burn: how fast each service uses up what its objectives allow to go wrong.
+/// Burn rates: how fast each service uses up the error budgets of its objectives.
 ///
 /// Burn rates over several windows and the thresholds of their alerts are those of B. Beyer et al. (eds.), The Site Reliability Workbook
 /// (2018), chapter 5, "Alerting on SLOs": a burn rate of 1 uses up the whole budget in 30 days.
@@ -29,7 +29,8 @@
     {"3d", 72 * HourMs},
 }};
 
-/// An alert fires while both windows burn faster than the threshold: the long one shows that it matters, the short one that it goes on.
+/// An alert fires while the burn rates over both windows exceed the threshold: the long window shows that the misses are significant, the
+/// short one that they continue.
 struct BurnAlert
 {
     const char *severity;
@@ -45,18 +46,19 @@
     {"ticket", "3d", "6h", 1},
 }};
 
-/// Part of the requests that may miss the objectives on the first token and between tokens; the on-time share is declared.
-constexpr double TimingAllowance = 0.05;
+/// Ratio of requests that may miss the objectives for the first token and between tokens; the on-time share is declared.
+constexpr double AllowedTimingMissRatio = 0.05;
 
-/// The report as JSON: objectives with counts, burn rates by window, firing alerts, the budget left over 30 days, the series, the moves.
+/// Returns the report as JSON: for each objective the counts, burn rates by window, firing alerts, the remaining budget over 30 days and
+/// the series; and the moves.
 std::string burnJson(const Declarations &declarations, const BurnSeries &series, const std::vector<Move> &moves, WallTime now);
 
-/// For people: one block an objective. Error: Invalid, when the JSON is not a burn report.
+/// Formats the report as text, one block per objective. Error: Invalid, when the JSON is not a burn report.
 Result<std::string> burnText(const std::string &json);
-/// One self-contained page with plots. Error: Invalid, when the JSON is not a burn report.
+/// Formats the report as a self-contained HTML page with plots. Error: Invalid, when the JSON is not a burn report.
 Result<std::string> burnHtml(const std::string &json);
 
-/// Alert rules for Prometheus, in its YAML, for every objective of the declarations.
+/// Returns Prometheus alerting rules in YAML for every objective of the declarations.
 std::string alertRules(const Declarations &declarations);
 
 }
--- a/src/report/burnseries.cpp
+++ b/src/report/burnseries.cpp
@@ -8,28 +8,28 @@
 namespace
 {
 
-constexpr std::size_t MinutesKept = 8 * 60;
-constexpr std::size_t HoursKept = 31 * 24;
+constexpr std::size_t MaxMinuteBuckets = 8 * 60;
+constexpr std::size_t MaxHourBuckets = 31 * 24;
 
-void add(std::deque<BurnBucket> &buckets, const BurnCountMap &counts, WallTime start, std::size_t kept)
+void addToBucket(std::deque<BurnBucket> &buckets, const BurnCountMap &counts, WallTime start, std::size_t maxBuckets)
 {
     if (buckets.empty() || buckets.back().start < start) {
         buckets.push_back(BurnBucket{.start = start, .counts = {}});
     }
-    // A wall clock that was set back must not open a bucket in the past: the counts go into the newest one.
-    for (const auto &[of, count] : counts) {
-        buckets.back().counts[of] += count;
+    // When the wall clock was set back, the counts go into the newest bucket instead of a new one in the past.
+    for (const auto &[serviceTier, count] : counts) {
+        buckets.back().counts[serviceTier] += count;
     }
-    if (buckets.size() > kept) {
+    if (buckets.size() > maxBuckets) {
         buckets.pop_front();
     }
 }
 
-BurnCounts sumSince(const std::deque<BurnBucket> &buckets, const ServiceTier &of, WallTime since)
+BurnCounts sumSince(const std::deque<BurnBucket> &buckets, const ServiceTier &serviceTier, WallTime since)
 {
     BurnCounts sum;
     for (const BurnBucket &bucket : buckets) {
-        const auto found = bucket.counts.find(of);
+        const auto found = bucket.counts.find(serviceTier);
         if (bucket.start > since && found != bucket.counts.end()) {
             sum += found->second;
         }
@@ -37,9 +37,9 @@
     return sum;
 }
 
-/// The first bound at or over a time.
+/// Returns the index of the first bound not below a time.
 template<typename Bound>
-std::size_t boundAtLeast(Bound bound, Duration time)
+std::size_t firstBoundAtLeast(Bound bound, Duration time)
 {
     std::size_t k = 0;
     while (k + 1 < WaitBoundCount && bound(k) < time) {
@@ -48,15 +48,15 @@
     return k;
 }
 
-const Objective *objectiveOf(const Declarations &declarations, const ServiceTier &of)
+const Objective *objectiveOf(const Declarations &declarations, const ServiceTier &serviceTier)
 {
-    const Service *service = declarations.service(of.first);
+    const Service *service = declarations.service(serviceTier.first);
     if (!service) {
         return nullptr;
     }
     const auto found = std::ranges::find_if(service->objectives, [&](const Objective &objective) {
         const Tier *tier = declarations.tier(objective.tier);
-        return tier && tier->rank == of.second;
+        return tier && tier->rank == serviceTier.second;
     });
     return found == service->objectives.end() ? nullptr : &*found;
 }
@@ -78,14 +78,14 @@
 
 void BurnSeries::record(const BurnCountMap &counts, WallTime at)
 {
-    add(m_minutes, counts, WallTime{at.value - at.value % MinuteMs}, MinutesKept);
-    add(m_hours, counts, WallTime{at.value - at.value % HourMs}, HoursKept);
+    addToBucket(m_minutes, counts, WallTime{at.value - at.value % MinuteMs}, MaxMinuteBuckets);
+    addToBucket(m_hours, counts, WallTime{at.value - at.value % HourMs}, MaxHourBuckets);
 }
 
-BurnCounts BurnSeries::sum(const ServiceTier &of, WallTime now, std::int64_t lengthMs) const
+BurnCounts BurnSeries::sum(const ServiceTier &serviceTier, WallTime now, std::int64_t windowMs) const
 {
-    const bool isShort = lengthMs <= static_cast<std::int64_t>(MinutesKept) * MinuteMs;
-    return sumSince(isShort ? m_minutes : m_hours, of, WallTime{now.value - lengthMs});
+    const bool isShort = windowMs <= static_cast<std::int64_t>(MaxMinuteBuckets) * MinuteMs;
+    return sumSince(isShort ? m_minutes : m_hours, serviceTier, WallTime{now.value - windowMs});
 }
 
 void BurnSeries::restore(std::deque<BurnBucket> minutes, std::deque<BurnBucket> hours)
@@ -98,17 +98,17 @@
 {
     BurnCountMap sums;
     for (const auto &[key, counts] : growth) {
-        const ServiceTier of{key.service, key.tier};
-        BurnCounts &sum = sums[of];
-        // Counts without a version are of requests as callers see them; those with one are of dispatches.
+        const ServiceTier serviceTier{key.service, key.tier};
+        BurnCounts &sum = sums[serviceTier];
+        // Counts without a version are of requests as callers see them; counts with a version are of attempts.
         if (key.version.value.empty()) {
             sum += BurnCounts{.onTime = counts.onTime, .late = counts.late, .failed = counts.failed, .refused = counts.refused, .unknown = counts.unknown};
             continue;
         }
         sum.sent += counts.sent;
-        if (const Objective *objective = objectiveOf(declarations, of)) {
-            sum.firstTokenLate += counts.firstTokenOver.at(boundAtLeast(firstTokenBound, objective->firstToken));
-            sum.tokensSlow += counts.betweenTokensOver.at(boundAtLeast(betweenTokensBound, objective->betweenTokens));
+        if (const Objective *objective = objectiveOf(declarations, serviceTier)) {
+            sum.firstTokenLate += counts.firstTokenOver.at(firstBoundAtLeast(firstTokenBound, objective->firstToken));
+            sum.tokensSlow += counts.betweenTokensOver.at(firstBoundAtLeast(betweenTokensBound, objective->betweenTokens));
         }
     }
     return sums;
--- a/src/report/burnseries.h
+++ b/src/report/burnseries.h
@@ -10,7 +10,7 @@
 namespace cumindyke
 {
 
-/// How requests of one service and tier went in a span of time, against the service's objectives.
+/// Outcomes of the requests of one service and tier in a period, measured against the service's objectives.
 struct BurnCounts
 {
     std::uint64_t onTime = 0;
@@ -18,19 +18,19 @@
     std::uint64_t failed = 0;
     std::uint64_t refused = 0;
     std::uint64_t unknown = 0;
-    /// Requests sent to an upstream, and those of them whose first token or pace was over the objective.
+    /// Requests sent to an upstream, and those among them whose first token or pace missed the objective.
     std::uint64_t sent = 0;
     std::uint64_t firstTokenLate = 0;
     std::uint64_t tokensSlow = 0;
 
     BurnCounts &operator+=(const BurnCounts &other);
-    std::uint64_t all() const
+    std::uint64_t total() const
     {
         return onTime + late + failed + refused + unknown;
     }
     std::uint64_t notOnTime() const
     {
-        return all() - onTime;
+        return total() - onTime;
     }
     bool operator==(const BurnCounts &) const = default;
 };
@@ -38,7 +38,7 @@
 using ServiceTier = std::pair<ServiceName, TierRank>;
 using BurnCountMap = std::map<ServiceTier, BurnCounts>;
 
-/// The counts of one span of time.
+/// The counts of one period.
 struct BurnBucket
 {
     WallTime start;
@@ -50,15 +50,15 @@
 constexpr std::int64_t MinuteMs = 60'000;
 constexpr std::int64_t HourMs = 60 * MinuteMs;
 
-/// The series that the burn report is made from: minutes for the last hours, hours for a month. Part of the replicated state, so that it
-/// outlives leaders and restarts; fed once a minute, so that it costs the log little.
+/// The time series behind the burn report: by minute for the last hours, by hour for a month. Part of the replicated state, so that it
+/// survives leader changes and restarts; updated once a minute, to add little to the log.
 class BurnSeries
 {
 public:
-    /// Adds what was counted in a minute that ends at "at".
+    /// Adds the counts of the minute that ends at "at".
     void record(const BurnCountMap &counts, WallTime at);
-    /// The sum over the buckets that began at most "lengthMs" before now.
-    BurnCounts sum(const ServiceTier &of, WallTime now, std::int64_t lengthMs) const;
+    /// Returns the sum over the buckets that began less than "windowMs" before now.
+    BurnCounts sum(const ServiceTier &serviceTier, WallTime now, std::int64_t windowMs) const;
 
     const std::deque<BurnBucket> &minutes() const
     {
@@ -76,7 +76,7 @@
     std::deque<BurnBucket> m_hours;
 };
 
-/// Sums the growth of all counters into what the report needs. An objective's time is rounded up to the next bound of the counters.
+/// Sums the growth of all counters by service and tier. An objective's time is rounded up to the next bound of the counters.
 BurnCountMap aggregateBurnCounts(const OutcomeMap &growth, const Declarations &declarations);
 
 }
--- a/src/report/burnwire.cpp
+++ b/src/report/burnwire.cpp
@@ -21,10 +21,10 @@
 {
     v1::BurnBucket wire;
     wire.set_start_ms(bucket.start.value);
-    for (const auto &[of, counts] : bucket.counts) {
+    for (const auto &[serviceTier, counts] : bucket.counts) {
         v1::BurnCounts &count = *wire.add_counts();
-        count.set_service(of.first.value);
-        count.set_tier_rank(of.second.value);
+        count.set_service(serviceTier.first.value);
+        count.set_tier_rank(serviceTier.second.value);
         count.set_on_time(counts.onTime);
         count.set_late(counts.late);
         count.set_failed(counts.failed);
--- a/src/report/burnwire.h
+++ b/src/report/burnwire.h
@@ -4,7 +4,7 @@
 
 #include "report.pb.h"
 
-/// Between the burn series and its form on the wire.
+/// Conversions between the burn series and its protobuf messages.
 namespace cumindyke
 {
 
--- a/src/report/outcomereport.cpp
+++ b/src/report/outcomereport.cpp
@@ -11,8 +11,8 @@
 using Bounds = std::array<std::uint64_t, WaitBoundCount>;
 using WireBounds = google::protobuf::RepeatedField<std::uint64_t>;
 
-/// Counts over higher bounds are never larger, so all zeros are at the end.
-void putBounds(const Bounds &bounds, WireBounds &wire)
+/// Counts never increase from one bound to the next, so that all zeros are at the end and can be omitted.
+void appendBounds(const Bounds &bounds, WireBounds &wire)
 {
     for (const std::uint64_t count : bounds) {
         if (count == 0) {
@@ -22,7 +22,7 @@
     }
 }
 
-Bounds boundsOf(const WireBounds &wire)
+Bounds readBounds(const WireBounds &wire)
 {
     Bounds bounds{};
     std::copy_n(wire.begin(), std::min<std::size_t>(bounds.size(), static_cast<std::size_t>(wire.size())), bounds.begin());
@@ -51,8 +51,8 @@
         wire.set_failed(count.failed);
         wire.set_refused(count.refused);
         wire.set_unknown(count.unknown);
-        putBounds(count.firstTokenOver, *wire.mutable_first_token_over());
-        putBounds(count.betweenTokensOver, *wire.mutable_between_tokens_over());
+        appendBounds(count.firstTokenOver, *wire.mutable_first_token_over());
+        appendBounds(count.betweenTokensOver, *wire.mutable_between_tokens_over());
     }
     return report;
 }
@@ -76,8 +76,8 @@
             .failed = wire.failed(),
             .refused = wire.refused(),
             .unknown = wire.unknown(),
-            .firstTokenOver = boundsOf(wire.first_token_over()),
-            .betweenTokensOver = boundsOf(wire.between_tokens_over()),
+            .firstTokenOver = readBounds(wire.first_token_over()),
+            .betweenTokensOver = readBounds(wire.between_tokens_over()),
         };
     }
     return counts;
--- a/src/report/outcomereport.h
+++ b/src/report/outcomereport.h
@@ -4,7 +4,7 @@
 
 #include "report.pb.h"
 
-/// Between the counters of an entry VM and their form on the wire.
+/// Conversions between the outcome counters of an entry VM and their protobuf message.
 namespace cumindyke
 {
 
--- a/src/report/requestendcounters.h
+++ b/src/report/requestendcounters.h
@@ -10,18 +10,18 @@
 namespace cumindyke
 {
 
-/// How a request ended, as the report counts it.
+/// The end of a request, as counted in reports.
 enum class RequestEnd {
-    OnTime, ///< a whole answer before the deadline
-    Late, ///< a whole answer after it
-    Failed, ///< it ran, and there is no whole answer
-    Refused, ///< "not run"
+    OnTime, ///< a complete answer before the deadline
+    Late, ///< a complete answer after the deadline
+    Failed, ///< it ran without a complete answer
+    Refused, ///< it did not run
     Unknown, ///< it may have run
 };
 
 const char *toString(RequestEnd end);
 
-/// Counts of ended requests by service and tier, since the process started.
+/// Counts ended requests by service and tier since the start of the process.
 class RequestEndCounters
 {
 public:
--- a/tests/report/burntest.cpp
+++ b/tests/report/burntest.cpp
@@ -33,10 +33,10 @@
 
 }
 
-TEST_CASE("the burn rate is the part that missed over the part that may, by window; an alert needs both of its windows")
+TEST_CASE("the burn rate of a window is the missed ratio over the allowed ratio, and an alert needs both of its windows")
 {
     BurnSeries series;
-    // An hour and a half of perfect minutes, then four in which one request of five fails: 20 times what 99% allows.
+    // 90 minutes without a miss, then 4 in which one request of five fails: 20 times what 99% allows.
     std::int64_t now = Start;
     for (int minute = 0; minute < 90; ++minute, now += MinuteMs) {
         series.record(counts(100, 0), WallTime{now});
@@ -54,9 +54,9 @@
     CHECK_FALSE(reportOf(series, now)["objectives"][0]["on_time"]["alerts"].empty());
 }
 
-TEST_CASE("the series outlives a leader and a restart, in the snapshot of the log")
+TEST_CASE("the series survives a leader change and a restart in the snapshot of the log")
 {
-    // The operator sees the same report after the leader died. The counts are in the log once a minute; another VM restores a snapshot.
+    // Guards against a report that starts anew with the leader: the counts enter the log once a minute, and another VM restores a snapshot.
     StateMachine state;
     for (int minute = 0; minute < 3; ++minute) {
         v1::Command command;
@@ -71,7 +71,7 @@
     CHECK(next.version() == state.version());
 }
 
-TEST_CASE("the series stays small: minutes for hours, hours for a month")
+TEST_CASE("the series is bounded to 8 hours of minutes and 31 days of hours")
 {
     BurnSeries series;
     for (std::int64_t minute = 0; minute < std::int64_t{40} * 24 * 60; minute += 7) {
@@ -81,7 +81,7 @@
     CHECK(series.hours().size() <= 744);
 }
 
-TEST_CASE("requests as callers saw them and dispatches are told apart")
+TEST_CASE("requests as callers see them and attempts are counted separately")
 {
     OutcomeMap growth;
     growth[OutcomeKey{.service = Drafting, .version = {}, .route = {}, .tier = TierRank{0}}] = OutcomeCounts{.onTime = 5, .refused = 2};
@@ -89,14 +89,14 @@
     sent.firstTokenOver[11] = 2;
     growth[OutcomeKey{.service = Drafting, .version = VersionName{"v1"}, .route = "chat", .tier = TierRank{0}}] = sent;
     const BurnCounts sum = aggregateBurnCounts(growth, office()).at({Drafting, TierRank{0}});
-    CHECK(sum.all() == 7);
+    CHECK(sum.total() == 7);
     CHECK(sum.refused == 2);
     CHECK(sum.sent == 6);
     // The objective of 760 ms is counted at the next bound, 905 ms.
     CHECK(sum.firstTokenLate == 2);
 }
 
-TEST_CASE("outcomes survive the wire")
+TEST_CASE("outcome counters are equal after conversion to protobuf and back")
 {
     OutcomeCounts sent{.sent = 6, .onTime = 5, .failed = 1};
     sent.firstTokenOver[0] = 4;
@@ -107,7 +107,7 @@
     CHECK(fromWire(toWire(VmName{"vm"}, "a", 1, counted)) == counted);
 }
 
-TEST_CASE("the page shows moves and refusals and takes no markup from names")
+TEST_CASE("the HTML page shows moves and refusals and escapes markup in names")
 {
     BurnSeries series;
     series.record({{{Drafting, TierRank{0}}, BurnCounts{.onTime = 9, .refused = 1}}}, WallTime{Start});
@@ -134,7 +134,7 @@
     CHECK_FALSE(ok(burnText("[]")));
 }
 
-TEST_CASE("alert rules name every objective and both windows")
+TEST_CASE("alerting rules cover every objective and both windows")
 {
     const std::string rules = alertRules(office());
     CHECK(rules.find("cumindyke_requests_total{service=\"drafting\",tier=\"family\"}[1h]") != std::string::npos);
