--- a/src/daemon/adapter.h
+++ b/src/daemon/adapter.h
@@ -12,21 +12,22 @@
 
 class ControlTask;
 
-/// A server of a platform's operator calls; it serves from its making to its destruction.
+/// Server for a platform's operator calls; runs from its construction to its destruction.
 class OperatorServer
 {
 public:
     virtual ~OperatorServer() = default;
 };
 
-/// What a platform speaks: names, formats and calls. It decides nothing.
+/// A platform's protocol: header names, list format and operator calls. Contains no scheduling logic.
 struct Adapter
 {
     ProxyHeaders headers;
-    /// What the balancer asks for.
+    /// Path of the load balancer's readiness check.
     std::string readinessPath;
+    /// Creates the protocol for reading the platform's list of upstreams at the address.
     std::function<InstanceListProtocol(const Address &list)> instanceList;
-    /// Operators' calls, and the VM's metrics beside them. Error: Unavailable, when the address can't be bound.
+    /// Starts a server for operators' calls and the VM's metrics. Error: Unavailable, when the address can't be bound.
     std::function<Result<std::unique_ptr<OperatorServer>>(const Address &address, ControlTask &control, const Metrics &metrics)> startOperatorServer;
 };
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -22,8 +22,8 @@
     return vms;
 }
 
-/// Datagrams carry no proof of their sender, so there are none under TLS.
-std::optional<Address> datagramsAt(const Settings &settings, std::uint16_t port)
+/// Returns nothing under TLS, since datagrams are not authenticated.
+std::optional<Address> datagramAddress(const Settings &settings, std::uint16_t port)
 {
     if (settings.tls || port == 0) {
         return {};
@@ -31,8 +31,9 @@
     return Address{.host = settings.rpcAddress.host, .port = port};
 }
 
-/// The rest of the slack is for what placement servers admit before they hear of each other, and when another one takes over.
-constexpr std::uint64_t PartOfSlack = 8;
+/// The tolerance is an eighth of the slack. The rest covers what placement servers admit before they receive each other's load notices, and
+/// the takeover of another server.
+constexpr std::uint64_t LimitToleranceDivisor = 8;
 
 }
 
@@ -42,33 +43,33 @@
     if (const auto error = daemon->startControl(settings)) {
         return *error;
     }
-    if (const auto error = daemon->openFrontDoor(settings, adapter)) {
+    if (const auto error = daemon->openServers(settings, adapter)) {
         return *error;
     }
     if (const auto error = daemon->startRpc(settings)) {
         return *error;
     }
-    daemon->m_control->start();
-    // Last, so that a VM that answers /healthz answers operators too.
-    if (daemon->m_entry) {
-        daemon->m_cells->start();
-        daemon->m_entry->start();
+    daemon->m_controlTask->start();
+    // Started last, so that a VM that answers /healthz also answers operators.
+    if (daemon->m_entryTask) {
+        daemon->m_cellTask->start();
+        daemon->m_entryTask->start();
     }
-    if (daemon->m_proxy) {
-        daemon->m_proxy->start();
+    if (daemon->m_proxyTask) {
+        daemon->m_proxyTask->start();
     }
     return daemon;
 }
 
-/// A VM takes completions, or passes requests on by routes, or only serves control.
-std::optional<Error> Daemon::openFrontDoor(const Settings &settings, const Adapter &adapter)
+/// A VM serves completions, or proxies requests by routes, or serves operators and control only.
+std::optional<Error> Daemon::openServers(const Settings &settings, const Adapter &adapter)
 {
     if (settings.operatorApi) {
-        auto served = adapter.startOperatorServer(*settings.operatorApi, *m_control, m_metrics);
-        if (!ok(served)) {
-            return errorOf(served);
+        auto operatorServer = adapter.startOperatorServer(*settings.operatorApi, *m_controlTask, m_metrics);
+        if (!ok(operatorServer)) {
+            return errorOf(operatorServer);
         }
-        m_operators = std::move(valueOf(served));
+        m_operatorServer = std::move(valueOf(operatorServer));
     }
     if (settings.proxy) {
         return openProxy(settings, adapter);
@@ -91,17 +92,17 @@
         .headers = adapter.headers,
         .list = adapter.instanceList(settings.proxy->upstreamList),
         .requestReadLimit = settings.requestReadLimit,
-        // Without them each VM places its own requests.
-        .datagrams = datagramsAt(settings, settings.peerPort),
-        .limitTolerance = settings.limitSlack / PartOfSlack,
-        .sendTally = [control = m_control.get()](v1::EntryTally tally) { control->post(TallyNotice{std::move(tally)}); },
+        // Without datagrams each VM places its own requests.
+        .datagrams = datagramAddress(settings, settings.peerPort),
+        .limitTolerance = settings.limitSlack / LimitToleranceDivisor,
+        .sendTally = [control = m_controlTask.get()](v1::EntryTally tally) { control->post(TallyNotice{std::move(tally)}); },
     };
     auto proxy = ProxyTask::open(std::move(options), m_metrics);
     if (!ok(proxy)) {
         return errorOf(proxy);
     }
-    m_proxy = std::move(valueOf(proxy));
-    m_control->post(Subscription{[task = m_proxy.get()](const Configuration &configuration) { task->post(configuration); }});
+    m_proxyTask = std::move(valueOf(proxy));
+    m_controlTask->post(Subscription{[task = m_proxyTask.get()](const Configuration &configuration) { task->post(configuration); }});
     return {};
 }
 
@@ -111,33 +112,33 @@
 {
     m_transport.setPeers(settings.peers);
     m_transport.setDefaultPort(settings.peerPort);
-    m_router.control = [this](PeerMessage message) { m_control->post(std::move(message)); };
+    m_router.control = [this](PeerMessage message) { m_controlTask->post(std::move(message)); };
     m_router.cell = [this](PeerMessage message) {
-        if (m_cells) {
-            m_cells->post(std::move(message));
+        if (m_cellTask) {
+            m_cellTask->post(std::move(message));
         }
     };
     m_router.entry = [this](PeerMessage message) {
-        if (m_entry) {
-            m_entry->post(std::move(message));
+        if (m_entryTask) {
+            m_entryTask->post(std::move(message));
         }
     };
 }
 
 Daemon::~Daemon()
 {
-    // Calls from outside end first. The tasks post to each other, so all of them stop before any is destroyed.
-    m_rpc.reset();
-    m_operators.reset();
+    // External calls stop first. The tasks post messages to each other, so all of them are stopped before any is destroyed.
+    m_rpcServer.reset();
+    m_operatorServer.reset();
     const auto stop = [](const auto &task) {
         if (task) {
             task->stop();
         }
     };
-    stop(m_control);
-    stop(m_cells);
-    stop(m_entry);
-    stop(m_proxy);
+    stop(m_controlTask);
+    stop(m_cellTask);
+    stop(m_entryTask);
+    stop(m_proxyTask);
 }
 
 std::optional<Error> Daemon::startControl(const Settings &settings)
@@ -154,27 +155,27 @@
         .keepAdmitting = settings.keepAdmitting,
         .confirmWithin = settings.confirmWithin,
         .replaceReplicaAfter = settings.replaceReplicaAfter,
-        .datagrams = datagramsAt(settings, settings.leasePort),
+        .datagrams = datagramAddress(settings, settings.leasePort),
         .metrics = SpreadMetrics::of(m_metrics),
         .send = [this](const VmName &to, v1::Envelope envelope) { send(to, std::move(envelope)); },
     });
     if (!ok(control)) {
         return errorOf(control);
     }
-    m_control = std::move(valueOf(control));
+    m_controlTask = std::move(valueOf(control));
     return {};
 }
 
 void Daemon::openCells(const Settings &settings)
 {
-    m_cells = std::make_unique<CellTask>(
+    m_cellTask = std::make_unique<CellTask>(
         CellTaskOptions{
             .vm = settings.vm,
             .vms = allVms(settings),
             .send = [this](const VmName &to, v1::Envelope envelope) { send(to, std::move(envelope)); },
         },
         m_metrics);
-    m_control->post(Subscription{[cells = m_cells.get()](const Configuration &configuration) { cells->post(configuration); }});
+    m_controlTask->post(Subscription{[cells = m_cellTask.get()](const Configuration &configuration) { cells->post(configuration); }});
 }
 
 std::optional<Error> Daemon::openEntry(const Settings &settings)
@@ -185,7 +186,7 @@
                                      .vms = allVms(settings),
                                      .address = settings.httpAddress,
                                      .requestReadLimit = settings.requestReadLimit,
-                                     .propose = [control = m_control.get()](Proposal proposal) { control->post(std::move(proposal)); },
+                                     .propose = [control = m_controlTask.get()](Proposal proposal) { control->post(std::move(proposal)); },
                                      .send = [this](const VmName &to, v1::Envelope envelope) { send(to, std::move(envelope)); },
                                      .historyFile = settings.historyFile,
                                      .platformList = settings.platformList,
@@ -194,15 +195,15 @@
     if (!ok(entry)) {
         return errorOf(entry);
     }
-    m_entry = std::move(valueOf(entry));
-    m_control->post(Subscription{[entry = m_entry.get()](const Configuration &configuration) { entry->post(configuration); }});
+    m_entryTask = std::move(valueOf(entry));
+    m_controlTask->post(Subscription{[entry = m_entryTask.get()](const Configuration &configuration) { entry->post(configuration); }});
     return {};
 }
 
 std::optional<Error> Daemon::startRpc(const Settings &settings)
 {
-    OperatorHandlers handlers = operatorHandlers(*m_control);
-    handlers.report = [entry = m_entry.get(), burn = handlers.report](const v1::ReportRequest &request, const ReplyCallback<v1::ReportReply> &answer) {
+    OperatorHandlers handlers = operatorHandlers(*m_controlTask);
+    handlers.report = [entry = m_entryTask.get(), burn = handlers.report](const v1::ReportRequest &request, const ReplyCallback<v1::ReportReply> &answer) {
         if (request.burn() || !entry) {
             burn(request, answer);
             return;
@@ -217,11 +218,11 @@
     if (!ok(rpc)) {
         return errorOf(rpc);
     }
-    m_rpc = std::move(valueOf(rpc));
+    m_rpcServer = std::move(valueOf(rpc));
     return {};
 }
 
-/// A task may send to the VM it runs on without knowing it.
+/// Delivers messages to this VM locally, so that tasks need not distinguish it from others.
 void Daemon::send(const VmName &to, v1::Envelope &&envelope)
 {
     if (to == m_vm) {
@@ -233,28 +234,28 @@
 
 std::uint16_t Daemon::httpPort() const
 {
-    return m_entry ? m_entry->port() : 0;
+    return m_entryTask ? m_entryTask->port() : 0;
 }
 
 std::uint16_t Daemon::rpcPort() const
 {
-    return m_rpc->port();
+    return m_rpcServer->port();
 }
 
 void Daemon::reload(const Settings &settings)
 {
-    m_control->post(CandidatesNotice{settings.replicas});
+    m_controlTask->post(CandidatesNotice{settings.replicas});
 }
 
 void Daemon::drain(std::function<void()> drained)
 {
-    m_control->post(DrainNotice{});
-    if (m_proxy) {
-        m_proxy->post(ProxyDrain{std::move(drained)});
-    } else if (m_entry) {
-        m_entry->post(DrainRequest{std::move(drained)});
+    m_controlTask->post(DrainNotice{});
+    if (m_proxyTask) {
+        m_proxyTask->post(ProxyDrain{std::move(drained)});
+    } else if (m_entryTask) {
+        m_entryTask->post(DrainRequest{std::move(drained)});
     } else {
-        m_control->post(DepartureNotice{std::move(drained)});
+        m_controlTask->post(DepartureNotice{std::move(drained)});
     }
 }
 
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -21,18 +21,18 @@
 class Daemon
 {
 public:
-    /// Errors: Storage, Unavailable. The adapter is needed by settings with a proxy or an operator API.
+    /// Starts all tasks. The adapter is used only by settings with a proxy or an operator API. Errors: Storage, Unavailable.
     static Result<std::unique_ptr<Daemon>> start(const Settings &settings, const Adapter &adapter);
     ~Daemon();
     Daemon(const Daemon &) = delete;
     Daemon &operator=(const Daemon &) = delete;
 
-    /// 0 without a front door for completions.
+    /// Port of the HTTP server for completions; 0: none.
     std::uint16_t httpPort() const;
     std::uint16_t rpcPort() const;
-    /// Takes over what may change while the daemon runs: the replicas to ask for the leader.
+    /// Applies the settings that may change while the daemon runs: the replicas to ask for the leader.
     void reload(const Settings &settings);
-    /// Begins a graceful shutdown: nothing new is admitted, drained is called (from another thread) when the last request has ended.
+    /// Begins a graceful shutdown: admits no new requests, and calls drained from another thread when the last request has ended.
     void drain(std::function<void()> drained);
 
 private:
@@ -41,7 +41,7 @@
     void openCells(const Settings &settings);
     std::optional<Error> openEntry(const Settings &settings);
     std::optional<Error> openProxy(const Settings &settings, const Adapter &adapter);
-    std::optional<Error> openFrontDoor(const Settings &settings, const Adapter &adapter);
+    std::optional<Error> openServers(const Settings &settings, const Adapter &adapter);
     std::optional<Error> startRpc(const Settings &settings);
     void send(const VmName &to, v1::Envelope &&envelope);
 
@@ -49,12 +49,12 @@
     Metrics m_metrics;
     PeerTransport m_transport;
     PeerRouter m_router;
-    std::unique_ptr<ControlTask> m_control;
-    std::unique_ptr<CellTask> m_cells;
-    std::unique_ptr<EntryTask> m_entry;
-    std::unique_ptr<ProxyTask> m_proxy;
-    std::unique_ptr<OperatorServer> m_operators;
-    std::unique_ptr<RpcServer> m_rpc;
+    std::unique_ptr<ControlTask> m_controlTask;
+    std::unique_ptr<CellTask> m_cellTask;
+    std::unique_ptr<EntryTask> m_entryTask;
+    std::unique_ptr<ProxyTask> m_proxyTask;
+    std::unique_ptr<OperatorServer> m_operatorServer;
+    std::unique_ptr<RpcServer> m_rpcServer;
 };
 
 }
--- a/src/daemon/peerrouter.cpp
+++ b/src/daemon/peerrouter.cpp
@@ -5,7 +5,7 @@
 
 void PeerRouter::deliver(const VmName &from, v1::Envelope &&envelope) const
 {
-    const std::function<void(PeerMessage)> *task = nullptr;
+    const std::function<void(PeerMessage)> *handler = nullptr;
     switch (envelope.body_case()) {
     case v1::Envelope::kRaft:
     case v1::Envelope::kPropose:
@@ -14,22 +14,22 @@
     case v1::Envelope::kConfigHeartbeat:
     case v1::Envelope::kConfigLease:
     case v1::Envelope::kOutcomeReport:
-        task = &control;
+        handler = &control;
         break;
     case v1::Envelope::kDemand:
     case v1::Envelope::kGrantReport:
-        task = &cell;
+        handler = &cell;
         break;
     case v1::Envelope::kGrants:
     case v1::Envelope::kJoin:
     case v1::Envelope::kJoinReply:
-        task = &entry;
+        handler = &entry;
         break;
     case v1::Envelope::BODY_NOT_SET:
         break;
     }
-    if (task && *task) {
-        (*task)(PeerMessage{.from = from, .envelope = std::move(envelope)});
+    if (handler && *handler) {
+        (*handler)(PeerMessage{.from = from, .envelope = std::move(envelope)});
     }
 }
 
--- a/src/daemon/peerrouter.h
+++ b/src/daemon/peerrouter.h
@@ -7,7 +7,7 @@
 namespace cumindyke
 {
 
-/// Takes each kind of envelope to the task that owns the matter. Called from gRPC's threads.
+/// Dispatches received envelopes to the tasks that handle them. Called from gRPC's threads.
 struct PeerRouter
 {
     std::function<void(PeerMessage)> control;
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -10,9 +10,9 @@
 {
 
 constexpr std::int64_t MaxReplaceReplicaAfterMs = 24 * 3'600'000;
-constexpr std::int64_t MaxRequestReadMs = 3'600'000;
-constexpr std::int64_t MaxDrainMs = 24 * 3'600'000;
-/// More voters make each commit slower and bear no loss that the platform asks for.
+constexpr std::int64_t MaxRequestReadLimitMs = 3'600'000;
+constexpr std::int64_t MaxDrainLimitMs = 24 * 3'600'000;
+/// More voters slow down every commit, and the platform does not require tolerating more failures.
 constexpr std::int64_t MaxVoters = 9;
 constexpr std::int64_t MaxLimitSlack = 1'000'000'000'000;
 constexpr std::int64_t MaxKeepAdmittingMs = 3'600'000;
@@ -29,7 +29,7 @@
     return valueOf(address);
 }
 
-/// Whoever reaches the rpc address of a VM without TLS can change declarations and read the hashes of keys.
+/// Requires TLS except on loopback: anybody who can reach the RPC address without TLS can change declarations and read the hashes of keys.
 void readTls(TomlTable &root, Settings &settings)
 {
     settings.plaintext = root.flag("plaintext", false);
@@ -47,7 +47,7 @@
         return;
     }
     if (!settings.plaintext && !settings.rpcAddress.host.starts_with("127.")) {
-        root.reject("rpc_address", "others can reach it without TLS: add [tls] with certificate, key and ca, or set plaintext = true");
+        root.reject("rpc_address", "not a loopback address and without TLS: add [tls] with certificate, key and ca, or set plaintext = true");
     }
 }
 
@@ -69,7 +69,7 @@
     }
 }
 
-/// Where VMs are named by their addresses, a replica may be given as "A.B.C.D:PORT" of any of its services.
+/// Returns a replica's name. If VMs are named by their addresses, the text may be "A.B.C.D:PORT" with the port of any service.
 VmName readReplica(const std::string &text, bool namedByAddress)
 {
     return VmName{namedByAddress ? text.substr(0, text.find(':')) : text};
@@ -93,9 +93,9 @@
     settings.dataFolder = root.text("data_folder", settings.dataFolder);
     settings.platformList = root.text("platform_list", "");
     settings.historyFile = root.text("history_file", "");
-    settings.requestReadLimit = std::chrono::milliseconds(root.integer("request_read_limit_ms", settings.requestReadLimit.count(), 100, MaxRequestReadMs));
+    settings.requestReadLimit = std::chrono::milliseconds(root.integer("request_read_limit_ms", settings.requestReadLimit.count(), 100, MaxRequestReadLimitMs));
     if (root.has("drain_limit_ms")) {
-        settings.drainLimit = std::chrono::milliseconds(root.integer("drain_limit_ms", 0, 0, MaxDrainMs));
+        settings.drainLimit = std::chrono::milliseconds(root.integer("drain_limit_ms", 0, 0, MaxDrainLimitMs));
     }
     settings.confirmWithin = std::chrono::milliseconds(root.integer("confirm_within_ms", settings.confirmWithin.count(), 0, MaxConfirmWithinMs));
     settings.keepAdmitting = std::chrono::milliseconds(root.integer("keep_admitting_ms", 0, 0, MaxKeepAdmittingMs));
@@ -104,7 +104,7 @@
     settings.peerPort = static_cast<std::uint16_t>(root.integer("peer_port", 0, 0, 65'535));
     settings.leasePort = static_cast<std::uint16_t>(root.integer("lease_port", 0, 0, 65'535));
     if (settings.leasePort != 0 && (settings.peerPort == 0 || settings.leasePort == settings.peerPort)) {
-        root.reject("lease_port", "needs peer_port, and another port than that one: set both, or leave it out");
+        root.reject("lease_port", "needs peer_port and another port than peer_port: set both, or omit lease_port");
     }
     for (const std::string &replica : root.texts("replicas")) {
         settings.replicas.push_back(readReplica(replica, settings.peerPort != 0));
@@ -120,19 +120,19 @@
         }
         settings.peers[name] = readAddress(peer, "rpc_address", {});
     }
-    // Without this, every VM would lead a system of its own, and operators' changes would reach one VM only.
+    // Otherwise every VM would form a cluster of its own, and operators' changes would reach a single VM.
     if (!settings.peers.empty() && !root.has("replicas")) {
-        root.reject("replicas", "missing: with peers, name the VMs that hold the control log, the same on every VM");
+        root.reject("replicas", "missing: with peers, list the VMs with replicas of the control log, the same list on every VM");
     }
     for (const VmName &replica : settings.replicas) {
         if (replica != settings.vm && settings.peerPort == 0 && !settings.peers.contains(replica)) {
-            root.reject("replicas", "'" + replica.value + "' is neither this VM nor a peer: add a [[peer]] for it or mend its spelling");
+            root.reject("replicas", "'" + replica.value + "' is neither this VM nor a peer: add a [[peer]] for it or correct its spelling");
         }
     }
     readTls(root, settings);
     readPlatformTables(root, settings);
-    if (const std::optional<Error> broken = document.finish()) {
-        return *broken;
+    if (const std::optional<Error> invalid = document.finish()) {
+        return *invalid;
     }
     return settings;
 }
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -13,65 +13,67 @@
 namespace cumindyke
 {
 
-/// Opaque pass-through by routes, in place of the completions front door.
+/// Proxy that forwards requests unchanged by routes, instead of serving completions.
 struct ProxySettings
 {
-    /// For callers.
+    /// Listening address for callers.
     Address address;
-    /// For the balancer's question whether this VM is ready, and for metrics.
+    /// Listening address for the load balancer's readiness check and for metrics.
     Address readinessAddress;
-    /// The platform's list of upstreams.
+    /// Address of the platform's list of upstreams.
     Address upstreamList;
 };
 
-/// What one VM is told at its start. docs/SETTINGS.md describes the file.
+/// The settings file of one VM; docs/SETTINGS.md describes the keys.
 struct Settings
 {
     VmName vm{"local"};
     DataCentreName dataCentre{"local"};
-    /// For callers and the balancer.
+    /// Listening address for callers and the load balancer.
     Address httpAddress{.host = "127.0.0.1", .port = 8080};
-    /// For operators and peers.
+    /// Listening address for operators and peers.
     Address rpcAddress{.host = "127.0.0.1", .port = 8081};
-    /// Empty on a VM without a disk.
+    /// Folder of the control log; empty on a VM without a disk.
     std::string dataFolder = "run/cumindyked";
-    /// The other VMs' rpc addresses.
+    /// RPC addresses of the other VMs.
     std::map<VmName, Address> peers;
-    /// The VMs that hold the first replicas of the control log; this VM alone when none are named.
+    /// VMs with the initial replicas of the control log; this VM alone when the file names none.
     std::vector<VmName> replicas;
-    /// VMs are named by their IPv4 addresses and reached at this port; 0: by the peers named above only.
+    /// RPC port of all VMs, which are then named by their IPv4 addresses; 0: VMs are reached by "peers" only.
     std::uint16_t peerPort = 0;
-    /// Beats and leases go from and to this UDP port of each VM; 0: by calls, like everything else.
+    /// UDP port of each VM for heartbeats and leases; 0: they are sent by RPC like all other messages.
     std::uint16_t leasePort = 0;
-    /// With a new data folder, whether the replicas may form the first cluster.
+    /// Whether replicas with a new data folder may form the first cluster.
     bool formCluster = true;
-    /// Voters that the log grows to while VMs with disks come; 0: as many as replicas names.
+    /// Number of voters that the log grows to as VMs with disks join; 0: the number of "replicas".
     std::size_t wantedVoters = 0;
-    /// Slack that organisations' limits have over all VMs, in the limits' units; a part of it is used.
+    /// By how much organisations' limits may be exceeded over all VMs, in the limits' units; the proxy uses a fraction of it.
     std::uint64_t limitSlack = 0;
     std::optional<ProxySettings> proxy;
-    /// For operators that speak the platform's protocol; the VM has no front door for callers then, unless it is a proxy too.
+    /// Listening address for operators that use the platform's protocol. The VM then serves no callers, unless it is also a proxy.
     std::optional<Address> operatorApi;
-    /// A replica that was silent for so long is replaced by another VM with a disk.
+    /// Timeout after which an unreachable replica is replaced by another VM with a disk.
     std::chrono::milliseconds replaceReplicaAfter{30'000};
-    /// For operators and peers; without it, plaintext.
+    /// Certificates for the connections of operators and peers; none: plaintext.
     std::optional<TlsFiles> tls;
-    /// Plaintext on an address that others can reach, said in plain words.
+    /// Explicitly allows plaintext on an address other than loopback.
     bool plaintext = false;
-    /// How long work is admitted under the last configuration after the lease ended; docs/notes/quorum-loss.md.
+    /// How long requests are admitted with the last configuration after the lease has expired; see docs/notes/quorum-loss.md.
     std::chrono::milliseconds keepAdmitting{0};
+    /// A published route table is confirmed to the operator when, after this time, every VM is certain to have applied it or to have stopped
+    /// admitting requests.
     std::chrono::milliseconds confirmWithin{2000};
-    /// The longest that a caller may take to send one request.
+    /// Maximum time for receiving one request from a caller.
     std::chrono::milliseconds requestReadLimit{30'000};
-    /// How long a graceful shutdown may last; none is no limit.
+    /// Maximum duration of a graceful shutdown; none: unlimited.
     std::optional<std::chrono::milliseconds> drainLimit;
     /// File or "http://HOST:PORT/PATH" of the platform's list of live and leaving VMs. Empty: none.
     std::string platformList;
-    /// For tests: what happened to each request, a JSON object a line. Empty: none.
+    /// File for the events of each request, for tests: one JSON object per line. Empty: none.
     std::string historyFile;
 };
 
-/// Checks and reads settings. Error: Invalid, one line for each problem with file, line, key and remedy.
+/// Parses and checks settings. Error: Invalid, with one line per problem that gives file, line, key and remedy.
 Result<Settings> parseSettings(std::string_view toml, const std::string &fileName);
 
 }
--- a/src/daemon/settingswatch.cpp
+++ b/src/daemon/settingswatch.cpp
@@ -12,23 +12,23 @@
         return;
     }
     const Result<std::string> text = readFile(m_file);
-    m_seen = ok(text) ? valueOf(text) : "";
+    m_lastContent = ok(text) ? valueOf(text) : "";
 }
 
-std::optional<Result<Settings>> SettingsWatch::changed(bool asked)
+std::optional<Result<Settings>> SettingsWatch::changed(bool isForced)
 {
     if (m_file.empty()) {
         return {};
     }
     const Result<std::string> text = readFile(m_file);
     if (!ok(text)) {
-        return asked ? std::optional(Result<Settings>(errorOf(text))) : std::nullopt;
+        return isForced ? std::optional(Result<Settings>(errorOf(text))) : std::nullopt;
     }
-    if (valueOf(text) == m_seen && !asked) {
+    if (valueOf(text) == m_lastContent && !isForced) {
         return {};
     }
-    m_seen = valueOf(text);
-    return parseSettings(m_seen, m_file);
+    m_lastContent = valueOf(text);
+    return parseSettings(m_lastContent, m_file);
 }
 
 }
--- a/src/daemon/settingswatch.h
+++ b/src/daemon/settingswatch.h
@@ -8,22 +8,22 @@
 namespace cumindyke
 {
 
-/// Notices that the settings file has changed: by its content, since a file may be replaced within one tick of its time stamp.
+/// Detects changes of the settings file by its content, since a file may be replaced within one tick of its time stamp.
 class SettingsWatch
 {
 public:
-    /// How often to look: a change without a signal is noticed within this.
+    /// Interval for calling changed() when no signal requests a reload.
     static constexpr int PollIntervalSeconds = 1;
 
-    /// Empty: no file, so nothing ever changes.
+    /// Reads the file's present content. With an empty name there is no file and changed() never returns anything.
     explicit SettingsWatch(std::string file);
 
-    /// The settings when the file's content differs from what was seen last, or when they were asked for.
-    std::optional<Result<Settings>> changed(bool asked);
+    /// Returns the parsed settings when the file's content has changed since the last call, or when a reload is forced.
+    std::optional<Result<Settings>> changed(bool isForced);
 
 private:
     const std::string m_file;
-    std::string m_seen;
+    std::string m_lastContent;
 };
 
 }
--- a/tests/daemon/embeddeddefaultstest.cpp
+++ b/tests/daemon/embeddeddefaultstest.cpp
@@ -4,7 +4,7 @@
 
 using namespace cumindyke;
 
-TEST_CASE("without a settings file a VM is its own and only replica")
+TEST_CASE("without a settings file a VM is the only replica")
 {
     const Result<Settings> settings = parseSettings("", "embedded defaults");
     REQUIRE(ok(settings));
--- a/tests/daemon/settingstest.cpp
+++ b/tests/daemon/settingstest.cpp
@@ -17,8 +17,8 @@
 
 }
 
-// Anybody who reaches the port of a VM without TLS could change declarations: it takes plain words to allow that.
-TEST_CASE("plaintext needs loopback or plain words")
+// Anybody who can reach the RPC port of a VM without TLS can change declarations, so plaintext must be allowed explicitly.
+TEST_CASE("plaintext requires a loopback address or an explicit setting")
 {
     CHECK(problemOf("rpc_address = \"127.0.0.1:8081\"\n").empty());
     CHECK(problemOf("rpc_address = \"10.0.0.1:8081\"\n").find("set plaintext = true") != std::string::npos);
@@ -27,16 +27,16 @@
     CHECK(problemOf("[tls]\ncertificate = \"/none\"\n").find("tls.key: missing") != std::string::npos);
 }
 
-// Without the names of the replicas every VM would lead a system of its own, and a change would reach one VM only.
-TEST_CASE("with peers the replicas must be named")
+// Guards against VMs that each form a cluster of their own, where a change reaches a single VM.
+TEST_CASE("with peers the replicas are required")
 {
     CHECK(problemOf(Peers).find("replicas: missing") != std::string::npos);
     CHECK(problemOf(std::string("vm = \"vm-1\"\nreplicas = [\"vm-1\"]\n") + Peers).empty());
     CHECK(problemOf(std::string("vm = \"vm-1\"\nreplicas = [\"vm-3\"]\n") + Peers).find("neither this VM nor a peer") != std::string::npos);
 }
 
-// Guards against placement and lease datagrams that meet at one socket, where each side would drop the other's.
-TEST_CASE("a port for leases needs VMs that are reached by address, and a port of its own")
+// Guards against one socket for placement and lease datagrams, where each receiver would drop the other's messages.
+TEST_CASE("lease_port requires peer_port and a different port")
 {
     const std::string byAddress = "replicas = [\"127.0.0.1:7600\"]\npeer_port = 7600\n";
     CHECK(problemOf(byAddress + "lease_port = 7601\n").empty());
--- a/tests/fakeupstream/faketoken.h
+++ b/tests/fakeupstream/faketoken.h
@@ -6,8 +6,8 @@
 namespace cumindyke
 {
 
-/// The words of an answer, a function of the prompt's checksum only, so that a test can tell whether an answer is whole and the
-/// caller's own.
-std::string fakeToken(std::uint64_t seed, std::uint32_t index);
+/// Returns a token of an answer. It depends only on the prompt's checksum and the index, so that a test can check that an answer is
+/// complete and belongs to its caller.
+std::string fakeToken(std::uint64_t promptChecksum, std::uint32_t index);
 
 }
--- a/tests/fakeupstream/fakeupstream.cpp
+++ b/tests/fakeupstream/fakeupstream.cpp
@@ -23,7 +23,9 @@
 using nlohmann::json;
 using nlohmann::ordered_json;
 
+/// Leading bytes of a prompt that count as its shared prefix.
 constexpr std::size_t PrefixBytes = 256;
+/// Finished streams are removed from this number on.
 constexpr std::size_t MaxStreams = 20'000;
 
 std::string bodyOf(evhttp_request *request)
@@ -93,7 +95,7 @@
     , m_options(std::move(options))
     , m_server(evhttp_new(loop.base()))
     , m_engine(m_options.speed)
-    , m_step(loop, [this] { advance(); })
+    , m_stepTimer(loop, [this] { advance(); })
 {
     evhttp_bound_socket *socket = evhttp_bind_socket_with_handle(m_server, m_options.host.c_str(), m_options.port);
     if (!socket) {
@@ -105,7 +107,7 @@
     getsockname(evhttp_bound_socket_get_fd(socket), reinterpret_cast<sockaddr *>(&bound), &length);
     m_port = ntohs(bound.sin_port);
     evhttp_set_allowed_methods(m_server, EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_PUT | EVHTTP_REQ_DELETE | EVHTTP_REQ_PATCH);
-    evhttp_set_gencb(m_server, &FakeUpstream::requestCame, this);
+    evhttp_set_gencb(m_server, &FakeUpstream::onRequest, this);
     if (!m_options.logFile.empty()) {
         m_log.open(m_options.logFile, std::ios::app);
     }
@@ -114,12 +116,12 @@
 FakeUpstream::~FakeUpstream()
 {
     for (auto &[id, stream] : m_streams) {
-        detach(stream);
+        closeReader(stream);
     }
     evhttp_free(m_server);
 }
 
-void FakeUpstream::requestCame(evhttp_request *request, void *self)
+void FakeUpstream::onRequest(evhttp_request *request, void *self)
 {
     static_cast<FakeUpstream *>(self)->handle(request);
 }
@@ -141,9 +143,9 @@
     } else if (path == "/cache/events") {
         sendCacheEvents(request);
     } else if (path == "/orders") {
-        takeOrder(request);
+        handleOrder(request);
     } else if (path == "/faults") {
-        takeFaults(request);
+        handleFaults(request);
     } else {
         runPlain(request, method, path);
     }
@@ -155,12 +157,12 @@
     addHeader(request, "X-Request-Id", m_faults.crossed ? "crossed-" + id : id);
     if (m_faults.refuse || m_faults.draining) {
         addHeader(request, "X-Not-Run", "1");
-        reply(request, 503, {{"error", "refused unrun"}});
+        reply(request, 503, {{"error", "refused without running it"}});
         return;
     }
     const json body = json::parse(bodyOf(request), nullptr, false);
     if (!body.is_object() || m_streams.contains(id)) {
-        reply(request, 400, {{"error", "no JSON object, or an id that runs already"}});
+        reply(request, 400, {{"error", "not a JSON object, or the id is already running"}});
         return;
     }
     if (m_streams.size() >= MaxStreams) {
@@ -170,15 +172,16 @@
     for (const json &message : body.value("messages", json::array())) {
         prompt += message.value("content", "") + "\n";
     }
-    logRun("run", id, fingerprint(prompt));
+    logEvent("run", id, fingerprint(prompt));
     if (m_faults.fail) {
         reply(request, 500, {{"error", "failed on command"}});
         return;
     }
     const auto promptTokens = static_cast<std::uint32_t>(prompt.size() / 4 + 1);
     Stream &stream = m_streams[id];
-    stream = Stream{.id = RequestId{id}, .chat = chat, .seed = checksum(prompt), .answerTokens = body.value("max_tokens", 256U), .promptTokens = promptTokens};
-    attach(stream, request);
+    stream = Stream{
+        .id = RequestId{id}, .chat = chat, .promptChecksum = checksum(prompt), .answerTokens = body.value("max_tokens", 256U), .promptTokens = promptTokens};
+    attachReader(stream, request);
     m_engine.submit(
         EngineRequest{
             .id = stream.id,
@@ -191,16 +194,16 @@
     scheduleAdvance();
 }
 
-void FakeUpstream::attach(Stream &stream, evhttp_request *request)
+void FakeUpstream::attachReader(Stream &stream, evhttp_request *request)
 {
-    detach(stream);
+    closeReader(stream);
     stream.reader = request;
-    stream.started = false;
-    stream.sentHere = 0;
-    evhttp_connection_set_closecb(evhttp_request_get_connection(request), &FakeUpstream::readerLeft, this);
+    stream.headSent = false;
+    stream.sentOnConnection = 0;
+    evhttp_connection_set_closecb(evhttp_request_get_connection(request), &FakeUpstream::onReaderDisconnected, this);
 }
 
-void FakeUpstream::detach(Stream &stream)
+void FakeUpstream::closeReader(Stream &stream)
 {
     if (!stream.reader) {
         return;
@@ -213,7 +216,7 @@
     }
 }
 
-void FakeUpstream::readerLeft(evhttp_connection *connection, void *self)
+void FakeUpstream::onReaderDisconnected(evhttp_connection *connection, void *self)
 {
     for (auto &[id, stream] : static_cast<FakeUpstream *>(self)->m_streams) {
         if (stream.reader && evhttp_request_get_connection(stream.reader) == connection) {
@@ -229,12 +232,12 @@
         reply(request, 404, {{"error", "no such stream"}});
         return;
     }
-    logRun("resume", id, std::to_string(queryNumber(request, "offset")));
+    logEvent("resume", id, std::to_string(queryNumber(request, "offset")));
     addHeader(request, "X-Request-Id", id);
     Stream &stream = found->second;
-    attach(stream, request);
-    stream.sent = static_cast<std::uint32_t>(queryNumber(request, "offset"));
-    pump(stream);
+    attachReader(stream, request);
+    stream.sentTokens = static_cast<std::uint32_t>(queryNumber(request, "offset"));
+    sendPending(stream);
 }
 
 void FakeUpstream::cancel(evhttp_request *request, const std::string &id)
@@ -242,39 +245,39 @@
     const auto found = m_streams.find(id);
     if (found != m_streams.end()) {
         m_engine.cancel(found->second.id);
-        detach(found->second);
+        closeReader(found->second);
         m_streams.erase(found);
-        logRun("cancel", id, "");
+        logEvent("cancel", id, "");
     }
     reply(request, 200, {{"cancelled", id}});
 }
 
-void FakeUpstream::pump(Stream &stream)
+void FakeUpstream::sendPending(Stream &stream)
 {
     if (!stream.reader) {
         return;
     }
-    // A reader that was killed: libevent has parted the request from its connection without a call to readerLeft, and frees it here.
+    // The reader was killed: libevent has detached the request from its connection without calling onReaderDisconnected, and frees it here.
     if (!evhttp_request_get_connection(stream.reader)) {
         evhttp_send_reply_end(stream.reader);
         stream.reader = nullptr;
         return;
     }
-    if (!stream.started) {
-        stream.started = true;
+    if (!stream.headSent) {
+        stream.headSent = true;
         addHeader(stream.reader, "Content-Type", "text/event-stream");
         evhttp_send_reply_start(stream.reader, 200, nullptr);
     }
-    while (stream.sent < stream.made) {
-        if (m_faults.silentAfter > 0 && stream.sentHere >= m_faults.silentAfter) {
+    while (stream.sentTokens < stream.generatedTokens) {
+        if (m_faults.silentAfter > 0 && stream.sentOnConnection >= m_faults.silentAfter) {
             return;
         }
-        if (m_faults.cutAfter > 0 && stream.sentHere >= m_faults.cutAfter) {
-            detach(stream);
+        if (m_faults.cutAfter > 0 && stream.sentOnConnection >= m_faults.cutAfter) {
+            closeReader(stream);
             return;
         }
-        ++stream.sentHere;
-        sendToken(stream, stream.sent++);
+        ++stream.sentOnConnection;
+        sendToken(stream, stream.sentTokens++);
     }
     if (stream.finished) {
         sendEnd(stream);
@@ -283,7 +286,7 @@
 
 void FakeUpstream::sendToken(Stream &stream, std::uint32_t index)
 {
-    const std::string token = fakeToken(stream.seed, index);
+    const std::string token = fakeToken(stream.promptChecksum, index);
     ordered_json choice{{"index", 0}};
     if (stream.chat) {
         choice["delta"] = {{"content", token}};
@@ -300,7 +303,7 @@
 void FakeUpstream::sendEnd(Stream &stream)
 {
     ordered_json choice{{"index", 0}, {"finish_reason", "length"}};
-    const ordered_json usage{{"prompt_tokens", stream.promptTokens}, {"completion_tokens", stream.made}};
+    const ordered_json usage{{"prompt_tokens", stream.promptTokens}, {"completion_tokens", stream.generatedTokens}};
     const std::string events = "data: " + ordered_json{{"choices", {choice}}, {"usage", usage}}.dump() + "\n\ndata: [DONE]\n\n";
     evbuffer *chunk = evbuffer_new();
     evbuffer_add(chunk, events.data(), events.size());
@@ -321,11 +324,11 @@
         Stream &stream = found->second;
         if (event.kind == EngineEvent::Kind::Finished) {
             stream.finished = true;
-            logRun("finished", event.id.value, std::to_string(stream.made));
+            logEvent("finished", event.id.value, std::to_string(stream.generatedTokens));
         } else {
-            stream.made = event.index + 1;
+            stream.generatedTokens = event.index + 1;
         }
-        pump(stream);
+        sendPending(stream);
     }
     scheduleAdvance();
 }
@@ -333,32 +336,32 @@
 void FakeUpstream::scheduleAdvance()
 {
     if (const auto next = m_engine.nextEventAt()) {
-        m_step.startOnce(*next - EventLoop::now());
+        m_stepTimer.startOnce(*next - EventLoop::now());
     }
 }
 
-void FakeUpstream::takeOrder(evhttp_request *request)
+void FakeUpstream::handleOrder(evhttp_request *request)
 {
     const json order = json::parse(bodyOf(request), nullptr, false);
     const std::uint64_t epoch = order.is_object() ? order.value("epoch", std::uint64_t{0}) : 0;
     if (m_faults.checksFence && epoch < m_highestEpoch) {
-        logRun("order-refused", std::to_string(epoch), order.dump());
-        reply(request, 409, {{"error", "an order with a newer epoch was taken"}, {"epoch", m_highestEpoch}});
+        logEvent("order-refused", std::to_string(epoch), order.dump());
+        reply(request, 409, {{"error", "an order with a newer epoch was accepted"}, {"epoch", m_highestEpoch}});
         return;
     }
     m_highestEpoch = std::max(m_highestEpoch, epoch);
     if (order.is_object() && order.contains("version")) {
         m_options.version = order["version"].get<std::string>();
     }
-    logRun("order", std::to_string(epoch), order.dump());
+    logEvent("order", std::to_string(epoch), order.dump());
     reply(request, 200, {{"version", m_options.version}});
 }
 
-void FakeUpstream::takeFaults(evhttp_request *request)
+void FakeUpstream::handleFaults(evhttp_request *request)
 {
     const json faults = json::parse(bodyOf(request), nullptr, false);
     if (!faults.is_object()) {
-        reply(request, 400, {{"error", "no JSON object"}});
+        reply(request, 400, {{"error", "not a JSON object"}});
         return;
     }
     m_faults.slowness = faults.value("slowness", m_faults.slowness);
@@ -380,31 +383,31 @@
     addHeader(request, "X-Request-Id", m_faults.crossed ? "crossed-" + id : id);
     if (m_faults.refuse || m_faults.draining) {
         addHeader(request, "X-Not-Run", "1");
-        reply(request, 503, {{"error", "refused unrun"}});
+        reply(request, 503, {{"error", "refused without running it"}});
         return;
     }
-    ++m_plainRuns;
-    logRun("run", id, method + " " + path + " " + fingerprint(bodyOf(request)));
+    ++m_plainCallCount;
+    logEvent("run", id, method + " " + path + " " + fingerprint(bodyOf(request)));
     if (m_faults.fail) {
         reply(request, 500, {{"error", "failed on command"}});
         return;
     }
-    const json answer{{"run", m_plainRuns}, {"method", method}, {"path", path}, {"body", bodyOf(request)}, {"upstream", m_options.name}};
+    const json answer{{"run", m_plainCallCount}, {"method", method}, {"path", path}, {"body", bodyOf(request)}, {"upstream", m_options.name}};
     if (m_faults.plainDelayMs == 0) {
         reply(request, 200, answer);
         return;
     }
-    auto *later = new std::function<void()>([request, answer] { reply(request, 200, answer); });
+    auto *delayedReply = new std::function<void()>([request, answer] { reply(request, 200, answer); });
     const timeval wait{.tv_sec = m_faults.plainDelayMs / 1000, .tv_usec = (m_faults.plainDelayMs % 1000) * 1000L};
     event_base_once(
         m_loop.base(),
         -1,
         EV_TIMEOUT,
         [](int, short, void *action) {
-            const std::unique_ptr<std::function<void()>> owned(static_cast<std::function<void()> *>(action));
-            (*owned)();
+            const std::unique_ptr<std::function<void()>> ownedAction(static_cast<std::function<void()> *>(action));
+            (*ownedAction)();
         },
-        later,
+        delayedReply,
         &wait);
 }
 
@@ -430,7 +433,7 @@
     reply(request, 200, {{"events", events}});
 }
 
-void FakeUpstream::logRun(const std::string &event, const std::string &id, const std::string &detail)
+void FakeUpstream::logEvent(const std::string &event, const std::string &id, const std::string &detail)
 {
     if (m_log.is_open()) {
         m_log << ordered_json{{"at_us", EventLoop::now().time_since_epoch().count()},
--- a/tests/fakeupstream/main.cpp
+++ b/tests/fakeupstream/main.cpp
@@ -9,7 +9,7 @@
 
 int main(int argc, char **argv)
 {
-    cxxopts::Options options("fakeupstream", "Stand-in for a model engine or a plain service.");
+    cxxopts::Options options("fakeupstream", "Simulates a model engine or a plain service.");
     options.add_options()("host", "address", cxxopts::value<std::string>()->default_value("127.0.0.1"))(
         "port", "port; 0 lets the kernel choose", cxxopts::value<std::uint16_t>()->default_value("0"))(
         "name", "name in answers and logs", cxxopts::value<std::string>()->default_value("fake"))(
@@ -24,21 +24,21 @@
             return 0;
         }
         std::signal(SIGPIPE, SIG_IGN);
-        FakeUpstreamOptions chosen{
+        FakeUpstreamOptions upstreamOptions{
             .name = parsed["name"].as<std::string>(),
             .version = parsed["version"].as<std::string>(),
             .host = parsed["host"].as<std::string>(),
             .port = parsed["port"].as<std::uint16_t>(),
             .logFile = parsed["log"].as<std::string>(),
         };
-        chosen.speed.stepBase = std::chrono::milliseconds(parsed["step-ms"].as<int>());
-        chosen.speed.maxBatch = parsed["max-batch"].as<std::uint32_t>();
+        upstreamOptions.speed.stepBase = std::chrono::milliseconds(parsed["step-ms"].as<int>());
+        upstreamOptions.speed.maxBatch = parsed["max-batch"].as<std::uint32_t>();
         EventLoop loop;
-        const FakeUpstream upstream(loop, chosen);
+        const FakeUpstream upstream(loop, upstreamOptions);
         std::cout << "listening " << upstream.port() << std::endl;
         loop.run();
-    } catch (const std::exception &wrong) {
-        std::cerr << "fakeupstream: " << wrong.what() << "\n";
+    } catch (const std::exception &error) {
+        std::cerr << "fakeupstream: " << error.what() << "\n";
         return 2;
     }
     return 0;
