--- a/src/entry/callerrequest.cpp
+++ b/src/entry/callerrequest.cpp
@@ -116,7 +116,7 @@
     }
     json body = json::parse(exchange.body(), nullptr, false);
     if (!body.is_object()) {
-        return badRequest("the body is not a JSON object: send an object with 'model' and 'prompt' or 'messages'");
+        return badRequest("the body is not a JSON object: send one with 'model' and 'prompt' or 'messages'");
     }
     if (!body.contains("model") || !body["model"].is_string()) {
         return badRequest("'model' is missing: set it to the name of a service");
