--- a/src/ctl/burncommand.cpp
+++ b/src/ctl/burncommand.cpp
@@ -14,11 +14,11 @@
 
 ExitCode reportCounters(const Context &context)
 {
-    const Result<v1::ReportReply> reply = context.client().report();
+    const Result<v1::ReportReply> reply = context.makeClient().report();
     if (!ok(reply)) {
         return printError(errorOf(reply));
     }
-    if (context.form == OutputForm::Json) {
+    if (context.format == OutputFormat::Json) {
         printJson(valueOf(reply));
         return ExitOk;
     }
@@ -33,12 +33,12 @@
 {
     v1::ReportRequest request;
     request.set_burn(true);
-    const Result<v1::ReportReply> reply = context.client().report(request);
+    const Result<v1::ReportReply> reply = context.makeClient().report(request);
     if (!ok(reply)) {
         return printError(errorOf(reply));
     }
     const std::string &json = valueOf(reply).burn_json();
-    if (context.form == OutputForm::Json) {
+    if (context.format == OutputFormat::Json) {
         std::cout << json << "\n";
         return ExitOk;
     }
@@ -52,11 +52,11 @@
 
 ExitCode reportAlerts(const Context &context)
 {
-    const Result<v1::Declarations> wire = context.client().get();
-    if (!ok(wire)) {
-        return printError(errorOf(wire));
+    const Result<v1::Declarations> reply = context.makeClient().get();
+    if (!ok(reply)) {
+        return printError(errorOf(reply));
     }
-    const Result<Declarations> declarations = fromWire(valueOf(wire));
+    const Result<Declarations> declarations = fromWire(valueOf(reply));
     if (!ok(declarations)) {
         return printError(errorOf(declarations));
     }
@@ -68,14 +68,14 @@
 
 ExitCode reportCommand(const Context &context)
 {
-    const std::string what = context.arguments.empty() ? "" : context.arguments[0];
-    if (what.empty()) {
+    const std::string subject = context.arguments.empty() ? "" : context.arguments[0];
+    if (subject.empty()) {
         return reportCounters(context);
     }
-    if (what == "burn") {
+    if (subject == "burn") {
         return reportBurn(context);
     }
-    if (what == "alerts") {
+    if (subject == "alerts") {
         return reportAlerts(context);
     }
     std::cerr << "cumindykectl: usage: cumindykectl report [burn|alerts]\n";
--- a/src/ctl/client.cpp
+++ b/src/ctl/client.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// As the daemons' own limit: a snapshot is one message.
+/// The same limit as the daemons', since a snapshot travels in a single message.
 constexpr int MaxMessageBytes = 64 << 20;
 
 Error toError(const grpc::Status &status, const std::string &server)
@@ -27,7 +27,7 @@
         return {ErrorKind::NotFound, message};
     case grpc::StatusCode::DEADLINE_EXCEEDED:
         return {ErrorKind::OutcomeUnknown,
-                "no reply from " + server + " in time: run the same command again with the same --command-id, it changes nothing twice"};
+                "no reply from " + server + " in time: run the same command again with the same --command-id; the change is applied at most once"};
     case grpc::StatusCode::UNAVAILABLE:
         return {ErrorKind::Unavailable, "can't reach " + server + " (" + message + "): check --server and the certificates, or name another VM"};
     default:
@@ -35,7 +35,7 @@
     }
 }
 
-std::shared_ptr<grpc::Channel> connect(const std::string &server, const std::optional<TlsFiles> &tls)
+std::shared_ptr<grpc::Channel> makeChannel(const std::string &server, const std::optional<TlsFiles> &tls)
 {
     grpc::ChannelArguments arguments;
     arguments.SetMaxReceiveMessageSize(MaxMessageBytes);
@@ -47,7 +47,7 @@
 OperatorClient::OperatorClient(const std::string &server, std::chrono::milliseconds timeout, const std::optional<TlsFiles> &tls)
     : m_server(server)
     , m_timeout(timeout)
-    , m_stub(v1::Operator::NewStub(connect(server, tls)))
+    , m_stub(v1::Operator::NewStub(makeChannel(server, tls)))
 {
 }
 
@@ -119,13 +119,13 @@
     return call<v1::ReportReply>(&v1::Operator::Stub::Report, request);
 }
 
-Result<Done> OperatorClient::watch(const v1::WatchRequest &request, const std::function<bool(const v1::Event &)> &handler)
+Result<Done> OperatorClient::watch(const v1::WatchRequest &request, const std::function<bool(const v1::Event &)> &onEvent)
 {
     grpc::ClientContext context;
     const auto reader = m_stub->Watch(&context, request);
     v1::Event event;
     while (reader->Read(&event)) {
-        if (!handler(event)) {
+        if (!onEvent(event)) {
             context.TryCancel();
             reader->Finish();
             return Done{};
--- a/src/ctl/client.h
+++ b/src/ctl/client.h
@@ -12,7 +12,8 @@
 namespace cumindyke
 {
 
-/// Operators' calls to one daemon. Each blocks until the reply or the timeout. Error kinds follow from the gRPC status.
+/// Client of one daemon's operator service. Each call blocks until the reply arrives or the timeout passes; the kind of an error is derived
+/// from the gRPC status. Only watch() has no timeout.
 class OperatorClient
 {
 public:
@@ -29,8 +30,8 @@
     Result<v1::SaveSnapshotReply> saveSnapshot();
     Result<v1::CommandReply> restoreSnapshot(const v1::RestoreSnapshotRequest &request);
     Result<v1::ReportReply> report(const v1::ReportRequest &request = {});
-    /// Calls the handler for each event until it returns false or the stream ends.
-    Result<Done> watch(const v1::WatchRequest &request, const std::function<bool(const v1::Event &)> &handler);
+    /// Calls `onEvent` for each event until the callback returns false or the stream ends.
+    Result<Done> watch(const v1::WatchRequest &request, const std::function<bool(const v1::Event &)> &onEvent);
 
 private:
     template<typename Reply, typename Request, typename Method>
--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -18,17 +18,18 @@
 
 constexpr const char *DefaultServer = "127.0.0.1:8081";
 
+/// A subcommand, as listed by --help.
 struct Command
 {
     const char *name;
     const char *arguments;
     const char *summary;
-    std::size_t least;
-    std::size_t most;
+    std::size_t minArguments;
+    std::size_t maxArguments;
     ExitCode (*run)(const Context &);
 };
 
-/// The declarations of a folder, checked as a whole.
+/// Reads the declarations of a folder and validates them as a whole.
 Result<Declarations> loadFolder(const std::string &folder)
 {
     const auto changes = readDeclarations(folder);
@@ -38,31 +39,32 @@
     return Declarations().apply(valueOf(changes));
 }
 
-/// What the daemon has in force, and the changes that would turn it into the folder's declarations.
+/// The changes that turn the declarations in force at the daemon into those of a folder.
 struct Difference
 {
-    Revision base;
+    Revision baseRevision; ///< of the declarations in force
     std::vector<Change> changes;
 };
 
-Result<Difference> differenceTo(const std::string &folder, OperatorClient &client)
+/// Compares a folder's declarations with those in force at the daemon.
+Result<Difference> compareWithDaemon(const std::string &folder, OperatorClient &client)
 {
     const Result<Declarations> target = loadFolder(folder);
     if (!ok(target)) {
         return errorOf(target);
     }
-    const Result<v1::Declarations> wire = client.get();
-    if (!ok(wire)) {
-        return errorOf(wire);
+    const Result<v1::Declarations> reply = client.get();
+    if (!ok(reply)) {
+        return errorOf(reply);
     }
-    const Result<Declarations> current = fromWire(valueOf(wire));
+    const Result<Declarations> current = fromWire(valueOf(reply));
     if (!ok(current)) {
         return errorOf(current);
     }
-    return Difference{.base = valueOf(current).revision(), .changes = valueOf(current).changesTo(valueOf(target))};
+    return Difference{.baseRevision = valueOf(current).revision(), .changes = valueOf(current).changesTo(valueOf(target))};
 }
 
-ExitCode check(const Context &context)
+ExitCode checkCommand(const Context &context)
 {
     const Result<Declarations> loaded = loadFolder(context.arguments[0]);
     if (!ok(loaded)) {
@@ -74,16 +76,16 @@
     return ExitOk;
 }
 
-ExitCode diff(const Context &context)
+ExitCode diffCommand(const Context &context)
 {
-    OperatorClient client = context.client();
-    const Result<Difference> difference = differenceTo(context.arguments[0], client);
+    OperatorClient client = context.makeClient();
+    const Result<Difference> difference = compareWithDaemon(context.arguments[0], client);
     if (!ok(difference)) {
         return printError(errorOf(difference));
     }
-    if (context.form == OutputForm::Json) {
+    if (context.format == OutputFormat::Json) {
         v1::ApplyRequest request;
-        request.set_base_revision(valueOf(difference).base.value);
+        request.set_base_revision(valueOf(difference).baseRevision.value);
         for (const Change &change : valueOf(difference).changes) {
             *request.add_changes() = toWire(change);
         }
@@ -94,46 +96,46 @@
         std::cout << describe(change) << "\n";
     }
     if (valueOf(difference).changes.empty()) {
-        std::cout << "no difference from revision " << valueOf(difference).base.value << "\n";
+        std::cout << "no difference from revision " << valueOf(difference).baseRevision.value << "\n";
         return ExitOk;
     }
     return ExitDifferent;
 }
 
-ExitCode apply(const Context &context)
+ExitCode applyCommand(const Context &context)
 {
-    OperatorClient client = context.client();
-    const Result<Difference> difference = differenceTo(context.arguments[0], client);
-    if (!ok(difference)) {
-        return printError(errorOf(difference));
+    OperatorClient client = context.makeClient();
+    const Result<Difference> compared = compareWithDaemon(context.arguments[0], client);
+    if (!ok(compared)) {
+        return printError(errorOf(compared));
     }
-    const Difference &found = valueOf(difference);
-    if (found.changes.empty()) {
+    const Difference &difference = valueOf(compared);
+    if (difference.changes.empty()) {
         v1::CommandReply unchanged;
         unchanged.set_outcome(v1::CommandReply::ACCEPTED);
-        unchanged.set_revision(found.base.value);
+        unchanged.set_revision(difference.baseRevision.value);
         unchanged.set_message("nothing to change");
-        return printReply(unchanged, context.form);
+        return printReply(unchanged, context.format);
     }
     v1::ApplyRequest request;
     request.set_command_id(context.commandId());
-    request.set_base_revision(context.options.count("base-revision") ? context.options["base-revision"].as<std::uint64_t>() : found.base.value);
+    request.set_base_revision(context.options.count("base-revision") ? context.options["base-revision"].as<std::uint64_t>() : difference.baseRevision.value);
     request.set_author(context.author());
     request.set_wait(context.options["wait"].as<bool>());
-    for (const Change &change : found.changes) {
+    for (const Change &change : difference.changes) {
         *request.add_changes() = toWire(change);
     }
     const Result<v1::CommandReply> reply = client.apply(request);
-    return ok(reply) ? printReply(valueOf(reply), context.form) : printError(errorOf(reply));
+    return ok(reply) ? printReply(valueOf(reply), context.format) : printError(errorOf(reply));
 }
 
-ExitCode get(const Context &context)
+ExitCode getCommand(const Context &context)
 {
-    const Result<v1::Declarations> reply = context.client().get();
+    const Result<v1::Declarations> reply = context.makeClient().get();
     if (!ok(reply)) {
         return printError(errorOf(reply));
     }
-    if (context.form == OutputForm::Json) {
+    if (context.format == OutputFormat::Json) {
         printJson(valueOf(reply));
         return ExitOk;
     }
@@ -155,15 +157,15 @@
     return ExitOk;
 }
 
-ExitCode history(const Context &context)
+ExitCode historyCommand(const Context &context)
 {
     v1::HistoryRequest request;
-    request.set_after_revision(context.after());
-    const Result<v1::HistoryReply> reply = context.client().history(request);
+    request.set_after_revision(context.afterRevision());
+    const Result<v1::HistoryReply> reply = context.makeClient().history(request);
     if (!ok(reply)) {
         return printError(errorOf(reply));
     }
-    if (context.form == OutputForm::Json) {
+    if (context.format == OutputFormat::Json) {
         printJson(valueOf(reply));
         return ExitOk;
     }
@@ -185,11 +187,11 @@
 }
 
 constexpr Command Commands[] = {
-    {"check", "DIR", "check the declarations of a folder, without a daemon", 1, 1, check},
-    {"diff", "DIR", "show what apply would change; exit 5 when there is something", 1, 1, diff},
-    {"apply", "DIR", "make the declarations of a folder the ones in force", 1, 1, apply},
-    {"get", "", "show the declarations in force", 0, 0, get},
-    {"history", "", "show accepted changes (--after REVISION)", 0, 0, history},
+    {"check", "DIR", "check the declarations of a folder, without a daemon", 1, 1, checkCommand},
+    {"diff", "DIR", "show what apply would change; exit 5 when there is something", 1, 1, diffCommand},
+    {"apply", "DIR", "make the declarations of a folder the ones in force", 1, 1, applyCommand},
+    {"get", "", "show the declarations in force", 0, 0, getCommand},
+    {"history", "", "show accepted changes (--after REVISION)", 0, 0, historyCommand},
     {"watch", "", "show changes and moves as they happen (--after REVISION, --count N)", 0, 0, watchCommand},
     {"members", "[add-replica|remove-replica VM]", "show the VMs, the replicas and the leader, or change the replicas", 0, 2, membersCommand},
     {"snapshot", "save|restore FILE", "save the whole state to a file, or make a saved one a new revision", 2, 2, snapshotCommand},
@@ -245,8 +247,8 @@
             std::cout << command.summary << "\n" << options.help({""});
             return ExitOk;
         }
-        const auto form = parsed["output"].as<std::string>();
-        if (form != "text" && form != "json") {
+        const auto format = parsed["output"].as<std::string>();
+        if (format != "text" && format != "json") {
             std::cerr << "cumindykectl: --output must be text or json\n";
             return ExitUsage;
         }
@@ -254,11 +256,11 @@
             std::cerr << "cumindykectl: --cert, --key and --ca go together\n";
             return ExitUsage;
         }
-        Context context{.options = parsed, .form = form == "json" ? OutputForm::Json : OutputForm::Text, .arguments = {}};
+        Context context{.options = parsed, .format = format == "json" ? OutputFormat::Json : OutputFormat::Text, .arguments = {}};
         if (parsed.count("arguments")) {
             context.arguments = parsed["arguments"].as<std::vector<std::string>>();
         }
-        if (context.arguments.size() < command.least || context.arguments.size() > command.most) {
+        if (context.arguments.size() < command.minArguments || context.arguments.size() > command.maxArguments) {
             std::cerr << "cumindykectl: usage: cumindykectl " << command.name << " " << command.arguments << "\n";
             return ExitUsage;
         }
@@ -269,8 +271,8 @@
             }
         }
         return command.run(context);
-    } catch (const cxxopts::exceptions::exception &wrong) {
-        std::cerr << "cumindykectl: " << wrong.what() << ": see cumindykectl " << command.name << " --help\n";
+    } catch (const cxxopts::exceptions::exception &error) {
+        std::cerr << "cumindykectl: " << error.what() << ": see cumindykectl " << command.name << " --help\n";
         return ExitUsage;
     }
 }
@@ -279,21 +281,21 @@
 
 int runCommandLine(int argc, char **argv)
 {
-    const std::span<char *> words(argv, static_cast<std::size_t>(argc));
-    if (words.size() < 2 || std::string_view(words[1]) == "--help" || std::string_view(words[1]) == "help") {
+    const std::span<char *> arguments(argv, static_cast<std::size_t>(argc));
+    if (arguments.size() < 2 || std::string_view(arguments[1]) == "--help" || std::string_view(arguments[1]) == "help") {
         printHelp();
-        return words.size() < 2 ? ExitUsage : ExitOk;
+        return arguments.size() < 2 ? ExitUsage : ExitOk;
     }
-    if (std::string_view(words[1]) == "--version") {
+    if (std::string_view(arguments[1]) == "--version") {
         std::cout << "cumindykectl " CUMINDYKE_VERSION "\n";
         return ExitOk;
     }
     for (const Command &command : Commands) {
-        if (std::string_view(words[1]) == command.name) {
+        if (std::string_view(arguments[1]) == command.name) {
             return runCommand(command, argc - 1, argv + 1);
         }
     }
-    std::cerr << "cumindykectl: no command '" << words[1] << "': see cumindykectl --help\n";
+    std::cerr << "cumindykectl: no command '" << arguments[1] << "': see cumindykectl --help\n";
     return ExitUsage;
 }
 
--- a/src/ctl/context.cpp
+++ b/src/ctl/context.cpp
@@ -22,7 +22,7 @@
     };
 }
 
-OperatorClient Context::client() const
+OperatorClient Context::makeClient() const
 {
     return OperatorClient(options["server"].as<std::string>(), std::chrono::milliseconds(options["timeout-ms"].as<int>()), tls());
 }
@@ -38,11 +38,11 @@
     if (options.count("command-id")) {
         return options["command-id"].as<std::string>();
     }
-    std::random_device device;
-    return fingerprint(std::to_string(device()) + std::to_string(device()) + std::to_string(device())).substr(0, 24);
+    std::random_device randomDevice;
+    return fingerprint(std::to_string(randomDevice()) + std::to_string(randomDevice()) + std::to_string(randomDevice())).substr(0, 24);
 }
 
-std::uint64_t Context::after() const
+std::uint64_t Context::afterRevision() const
 {
     return options["after"].as<std::uint64_t>();
 }
--- a/src/ctl/context.h
+++ b/src/ctl/context.h
@@ -14,24 +14,26 @@
 namespace cumindyke
 {
 
-/// What every subcommand is given.
+/// The parsed command line, as passed to every subcommand.
 struct Context
 {
     const cxxopts::ParseResult &options;
-    OutputForm form;
+    OutputFormat format;
     std::vector<std::string> arguments;
 
-    /// The files of --cert, --key and --ca.
+    /// Returns the files named by --cert, --key and --ca, or nothing when --cert is not given.
     std::optional<TlsFiles> tls() const;
-    OperatorClient client() const;
+    /// Returns a client for the daemon at --server.
+    OperatorClient makeClient() const;
+    /// Returns --author, or else $USER, or else an empty string.
     std::string author() const;
-    /// The operator's own id, for a resend, or a new one.
+    /// Returns --command-id, which lets an operator resend a command safely, or else a new random id.
     std::string commandId() const;
-    /// The revision of --after.
-    std::uint64_t after() const;
+    /// Returns the revision given by --after.
+    std::uint64_t afterRevision() const;
 };
 
-// Subcommands with files of their own.
+// Subcommands that have source files of their own.
 ExitCode watchCommand(const Context &context);
 ExitCode membersCommand(const Context &context);
 ExitCode snapshotCommand(const Context &context);
--- a/src/ctl/memberscommand.cpp
+++ b/src/ctl/memberscommand.cpp
@@ -10,16 +10,16 @@
 
 ExitCode showMembers(const Context &context)
 {
-    const Result<v1::MembersReply> reply = context.client().members();
+    const Result<v1::MembersReply> reply = context.makeClient().members();
     if (!ok(reply)) {
         return printError(errorOf(reply));
     }
-    if (context.form == OutputForm::Json) {
+    if (context.format == OutputFormat::Json) {
         printJson(valueOf(reply));
         return ExitOk;
     }
     for (const v1::Member &member : valueOf(reply).members()) {
-        std::cout << member.vm() << " in " << (member.data_centre().empty() ? "(not heard of)" : member.data_centre()) << " at " << member.peer_address()
+        std::cout << member.vm() << " in " << (member.data_centre().empty() ? "(unknown)" : member.data_centre()) << " at " << member.peer_address()
                   << (member.replica() ? " replica" : "") << (member.learner() ? " learner" : "") << (member.leader() ? " leader" : "")
                   << (member.live() ? " live" : " lost") << " revision " << member.revision() << "\n";
     }
@@ -45,8 +45,8 @@
     } else {
         request.set_remove_replica(context.arguments[1]);
     }
-    const Result<v1::CommandReply> reply = context.client().changeMembers(request);
-    return ok(reply) ? printReply(valueOf(reply), context.form) : printError(errorOf(reply));
+    const Result<v1::CommandReply> reply = context.makeClient().changeMembers(request);
+    return ok(reply) ? printReply(valueOf(reply), context.format) : printError(errorOf(reply));
 }
 
 }
--- a/src/ctl/movecommand.cpp
+++ b/src/ctl/movecommand.cpp
@@ -13,45 +13,47 @@
 namespace
 {
 
-std::int64_t wallNowMs()
+std::int64_t wallTimeMs()
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-/// "90s", "30m" or "4h" from now, or a time like 2026-12-03T18:00:00Z. Error: BadRequest.
+/// Returns the deadline in milliseconds since the Unix epoch. The text is a time span from now ("90s", "30m", "4h"; 1 to 100000 units) or a
+/// UTC time like 2026-12-03T18:00:00Z. Error: BadRequest.
 Result<std::int64_t> parseDeadline(const std::string &text, std::int64_t nowMs)
 {
-    const Error wrong{ErrorKind::BadRequest, "--deadline '" + text + "': write 90s, 30m, 4h, or a time like 2026-12-03T18:00:00Z"};
-    std::tm time{};
-    std::istringstream reader(text);
-    reader >> std::get_time(&time, "%Y-%m-%dT%H:%M:%SZ");
-    if (!reader.fail()) {
-        return static_cast<std::int64_t>(timegm(&time)) * 1'000;
+    const Error error{ErrorKind::BadRequest, "--deadline '" + text + "': write 90s, 30m, 4h, or a time like 2026-12-03T18:00:00Z"};
+    std::tm utc{};
+    std::istringstream timeStream(text);
+    timeStream >> std::get_time(&utc, "%Y-%m-%dT%H:%M:%SZ");
+    if (!timeStream.fail()) {
+        return static_cast<std::int64_t>(timegm(&utc)) * 1'000;
     }
-    std::istringstream amount(text);
-    std::int64_t number = 0;
+    std::istringstream spanStream(text);
+    std::int64_t amount = 0;
     char unit = 0;
-    if (!(amount >> number >> unit) || number <= 0 || number > 100'000 || amount.peek() != std::istringstream::traits_type::eof()) {
-        return wrong;
+    if (!(spanStream >> amount >> unit) || amount <= 0 || amount > 100'000 || spanStream.peek() != std::istringstream::traits_type::eof()) {
+        return error;
     }
-    const std::int64_t seconds = unit == 's' ? 1 : unit == 'm' ? 60 : unit == 'h' ? 3'600 : 0;
-    if (seconds == 0) {
-        return wrong;
+    const std::int64_t unitSeconds = unit == 's' ? 1 : unit == 'm' ? 60 : unit == 'h' ? 3'600 : 0;
+    if (unitSeconds == 0) {
+        return error;
     }
-    return nowMs + number * seconds * 1'000;
+    return nowMs + amount * unitSeconds * 1'000;
 }
 
-std::string timeText(std::int64_t ms)
+/// Formats milliseconds since the Unix epoch as a UTC time like 2026-12-03T18:00:00Z.
+std::string formatTime(std::int64_t ms)
 {
     const std::time_t seconds = ms / 1'000;
-    std::tm time{};
-    gmtime_r(&seconds, &time);
+    std::tm utc{};
+    gmtime_r(&seconds, &utc);
     std::ostringstream text;
-    text << std::put_time(&time, "%Y-%m-%dT%H:%M:%SZ");
+    text << std::put_time(&utc, "%Y-%m-%dT%H:%M:%SZ");
     return text.str();
 }
 
-const char *stateText(v1::MoveState state)
+const char *stateName(v1::MoveState state)
 {
     switch (state) {
     case v1::MOVE_STATE_RAMPING:
@@ -71,8 +73,8 @@
 
 void printMove(const v1::Move &move)
 {
-    std::cout << move.name() << ": " << stateText(move.state()) << " since " << timeText(move.state_since_ms()) << ", " << move.share_permille() / 10.0
-              << "% of " << move.service() << " on " << move.to_version() << " (from " << move.from_version() << ", deadline " << timeText(move.deadline_ms())
+    std::cout << move.name() << ": " << stateName(move.state()) << " since " << formatTime(move.state_since_ms()) << ", " << move.share_permille() / 10.0
+              << "% of " << move.service() << " on " << move.to_version() << " (from " << move.from_version() << ", deadline " << formatTime(move.deadline_ms())
               << "): " << move.reason() << "\n";
 }
 
@@ -82,7 +84,7 @@
         std::cerr << "cumindykectl: usage: cumindykectl move start SERVICE VERSION --deadline TIME\n";
         return ExitUsage;
     }
-    const Result<std::int64_t> deadline = parseDeadline(context.options["deadline"].as<std::string>(), wallNowMs());
+    const Result<std::int64_t> deadline = parseDeadline(context.options["deadline"].as<std::string>(), wallTimeMs());
     if (!ok(deadline)) {
         std::cerr << "cumindykectl: " << errorOf(deadline).message << "\n";
         return ExitUsage;
@@ -93,8 +95,8 @@
     request.set_to_version(context.arguments[2]);
     request.set_deadline_ms(valueOf(deadline));
     request.set_author(context.author());
-    const Result<v1::CommandReply> reply = context.client().startMove(request);
-    return ok(reply) ? printReply(valueOf(reply), context.form) : printError(errorOf(reply));
+    const Result<v1::CommandReply> reply = context.makeClient().startMove(request);
+    return ok(reply) ? printReply(valueOf(reply), context.format) : printError(errorOf(reply));
 }
 
 ExitCode abortMoveCommand(const Context &context)
@@ -107,30 +109,30 @@
     request.set_command_id(context.commandId());
     request.set_move(context.arguments[1]);
     request.set_author(context.author());
-    const Result<v1::CommandReply> reply = context.client().abortMove(request);
-    return ok(reply) ? printReply(valueOf(reply), context.form) : printError(errorOf(reply));
+    const Result<v1::CommandReply> reply = context.makeClient().abortMove(request);
+    return ok(reply) ? printReply(valueOf(reply), context.format) : printError(errorOf(reply));
 }
 
 ExitCode moveStatusCommand(const Context &context)
 {
-    const Result<v1::MovesReply> reply = context.client().moves();
+    const Result<v1::MovesReply> reply = context.makeClient().moves();
     if (!ok(reply)) {
         return printError(errorOf(reply));
     }
-    v1::MovesReply wanted;
+    v1::MovesReply selected;
     for (const v1::Move &move : valueOf(reply).moves()) {
         if (context.arguments.size() < 2 || context.arguments[1] == move.name() || context.arguments[1] == move.service()) {
-            *wanted.add_moves() = move;
+            *selected.add_moves() = move;
         }
     }
-    if (context.form == OutputForm::Json) {
-        printJson(wanted);
+    if (context.format == OutputFormat::Json) {
+        printJson(selected);
         return ExitOk;
     }
-    for (const v1::Move &move : wanted.moves()) {
+    for (const v1::Move &move : selected.moves()) {
         printMove(move);
     }
-    if (wanted.moves().empty()) {
+    if (selected.moves().empty()) {
         std::cout << "no move\n";
     }
     return ExitOk;
@@ -140,14 +142,14 @@
 
 ExitCode moveCommand(const Context &context)
 {
-    const std::string &what = context.arguments[0];
-    if (what == "start") {
+    const std::string &action = context.arguments[0];
+    if (action == "start") {
         return startMoveCommand(context);
     }
-    if (what == "status") {
+    if (action == "status") {
         return moveStatusCommand(context);
     }
-    if (what == "abort") {
+    if (action == "abort") {
         return abortMoveCommand(context);
     }
     std::cerr << "cumindykectl: usage: cumindykectl move start|status|abort\n";
--- a/src/ctl/output.cpp
+++ b/src/ctl/output.cpp
@@ -40,22 +40,22 @@
 std::string describe(const v1::HistoryEntry &entry)
 {
     std::string text = "revision " + std::to_string(entry.revision()) + " by " + (entry.author().empty() ? "unknown" : entry.author()) + ":";
-    for (const v1::Change &wire : entry.changes()) {
-        const Result<Change> change = fromWire(wire);
+    for (const v1::Change &wireChange : entry.changes()) {
+        const Result<Change> change = fromWire(wireChange);
         text += ok(change) ? "\n  " + describe(valueOf(change)) : "";
     }
     return text;
 }
 
-ExitCode printReply(const v1::CommandReply &reply, OutputForm form)
+ExitCode printReply(const v1::CommandReply &reply, OutputFormat format)
 {
-    if (form == OutputForm::Json) {
+    if (format == OutputFormat::Json) {
         printJson(reply);
     }
-    const bool text = form == OutputForm::Text;
+    const bool asText = format == OutputFormat::Text;
     switch (reply.outcome()) {
     case v1::CommandReply::ACCEPTED:
-        if (text) {
+        if (asText) {
             std::cout << "accepted: revision " << reply.revision() << (reply.message().empty() ? "" : ": " + reply.message()) << "\n";
             for (const std::string &vm : reply.lapsed_vms()) {
                 std::cout << "lapsed: " << vm << " is cut off and refuses new work until it has the revision\n";
@@ -63,7 +63,7 @@
         }
         return ExitOk;
     case v1::CommandReply::CONFLICT:
-        if (text) {
+        if (asText) {
             std::cerr << "conflict: " << reply.message() << "\n";
             for (const v1::HistoryEntry &entry : reply.winners()) {
                 std::cerr << describe(entry) << "\n";
@@ -71,12 +71,12 @@
         }
         return ExitConflict;
     case v1::CommandReply::INVALID:
-        if (text) {
+        if (asText) {
             std::cerr << "invalid: " << reply.message() << "\n";
         }
         return ExitUsage;
     default:
-        if (text) {
+        if (asText) {
             std::cerr << "not decided: " << reply.message() << ": run the same command again with the same --command-id\n";
         }
         return ExitUnavailable;
--- a/src/ctl/output.h
+++ b/src/ctl/output.h
@@ -10,15 +10,15 @@
 namespace cumindyke
 {
 
-enum class OutputForm { Text, Json };
+enum class OutputFormat { Text, Json };
 
-/// Prints any message of the schema as JSON, with the schema's own field names.
+/// Prints a protobuf message as JSON with the field names of the schema.
 void printJson(const google::protobuf::Message &message);
-/// Prints why a call failed, and returns the exit code for its kind.
+/// Prints why a call failed and returns the exit code for the kind of the error.
 ExitCode printError(const Error &error);
-/// Prints how a command ended, and returns its exit code.
-ExitCode printReply(const v1::CommandReply &reply, OutputForm form);
-/// One line for a change, for people.
+/// Prints the outcome of a command and returns its exit code.
+ExitCode printReply(const v1::CommandReply &reply, OutputFormat format);
+/// Returns a readable description of an accepted command: a line with its revision and author, then one line for each change.
 std::string describe(const v1::HistoryEntry &entry);
 
 }
--- a/src/ctl/snapshotcommand.cpp
+++ b/src/ctl/snapshotcommand.cpp
@@ -12,27 +12,27 @@
 namespace
 {
 
-/// Writes beside the file and renames, so that a full disk never leaves half a snapshot under the name.
-bool writeWhole(const std::string &file, const std::string &bytes)
+/// Writes a temporary file in the same folder and renames it, so that a full disk never leaves a truncated snapshot under the final name.
+bool writeAtomically(const std::string &file, const std::string &bytes)
 {
-    const std::string part = file + ".part";
-    std::ofstream out(part, std::ios::binary | std::ios::trunc);
-    out << bytes;
-    out.close();
-    return out && std::rename(part.c_str(), file.c_str()) == 0;
+    const std::string temporaryFile = file + ".part";
+    std::ofstream stream(temporaryFile, std::ios::binary | std::ios::trunc);
+    stream << bytes;
+    stream.close();
+    return stream && std::rename(temporaryFile.c_str(), file.c_str()) == 0;
 }
 
-ExitCode save(const Context &context, const std::string &file)
+ExitCode saveSnapshot(const Context &context, const std::string &file)
 {
-    const Result<v1::SaveSnapshotReply> reply = context.client().saveSnapshot();
+    const Result<v1::SaveSnapshotReply> reply = context.makeClient().saveSnapshot();
     if (!ok(reply)) {
         return printError(errorOf(reply));
     }
-    if (!writeWhole(file, valueOf(reply).snapshot())) {
-        std::cerr << "cumindykectl: can't write " << file << ": check the folder, its permissions and the disk's space\n";
+    if (!writeAtomically(file, valueOf(reply).snapshot())) {
+        std::cerr << "cumindykectl: can't write " << file << ": check the folder, its permissions and the free disk space\n";
         return ExitFailed;
     }
-    if (context.form == OutputForm::Json) {
+    if (context.format == OutputFormat::Json) {
         v1::SaveSnapshotReply summary;
         summary.set_revision(valueOf(reply).revision());
         printJson(summary);
@@ -42,7 +42,7 @@
     return ExitOk;
 }
 
-ExitCode restore(const Context &context, const std::string &file)
+ExitCode restoreSnapshot(const Context &context, const std::string &file)
 {
     const Result<std::string> bytes = readFile(file);
     if (!ok(bytes)) {
@@ -51,8 +51,8 @@
     v1::RestoreSnapshotRequest request;
     request.set_command_id(context.commandId());
     request.set_snapshot(valueOf(bytes));
-    const Result<v1::CommandReply> reply = context.client().restoreSnapshot(request);
-    return ok(reply) ? printReply(valueOf(reply), context.form) : printError(errorOf(reply));
+    const Result<v1::CommandReply> reply = context.makeClient().restoreSnapshot(request);
+    return ok(reply) ? printReply(valueOf(reply), context.format) : printError(errorOf(reply));
 }
 
 }
@@ -61,10 +61,10 @@
 {
     const std::string &action = context.arguments[0];
     if (action == "save") {
-        return save(context, context.arguments[1]);
+        return saveSnapshot(context, context.arguments[1]);
     }
     if (action == "restore") {
-        return restore(context, context.arguments[1]);
+        return restoreSnapshot(context, context.arguments[1]);
     }
     std::cerr << "cumindykectl: usage: cumindykectl snapshot save|restore FILE\n";
     return ExitUsage;
--- a/src/ctl/watchcommand.cpp
+++ b/src/ctl/watchcommand.cpp
@@ -16,9 +16,9 @@
               << move.to_version() << (move.reason().empty() ? "" : ": " + move.reason()) << "\n";
 }
 
-void printEvent(const v1::Event &event, OutputForm form)
+void printEvent(const v1::Event &event, OutputFormat format)
 {
-    if (form == OutputForm::Json) {
+    if (format == OutputFormat::Json) {
         printJson(event);
     } else if (event.has_applied()) {
         std::cout << describe(event.applied()) << "\n";
@@ -30,18 +30,18 @@
 
 }
 
-/// Prints events until the stream ends or --count is reached.
+/// Prints events until the stream ends or --count events are printed; a count of 0 is no limit.
 ExitCode watchCommand(const Context &context)
 {
-    const auto count = context.options["count"].as<std::uint64_t>();
-    std::uint64_t seen = 0;
+    const auto maxEvents = context.options["count"].as<std::uint64_t>();
+    std::uint64_t printed = 0;
     v1::WatchRequest request;
-    request.set_after_revision(context.after());
-    const Result<Done> ended = context.client().watch(request, [&](const v1::Event &event) {
-        printEvent(event, context.form);
-        return ++seen != count;
+    request.set_after_revision(context.afterRevision());
+    const Result<Done> result = context.makeClient().watch(request, [&](const v1::Event &event) {
+        printEvent(event, context.format);
+        return ++printed != maxEvents;
     });
-    return ok(ended) ? ExitOk : printError(errorOf(ended));
+    return ok(result) ? ExitOk : printError(errorOf(result));
 }
 
 }
