--- a/src/main/cumindyked.cpp
+++ b/src/main/cumindyked.cpp
@@ -21,19 +21,20 @@
 constexpr int ExitFailed = 1;
 constexpr int ExitUsage = 2;
 
-/// The file that the command line names, or else the environment; empty: embedded defaults.
-std::string settingsFileOf(const cxxopts::ParseResult &options)
+/// Returns the settings file named by --settings, or else by the environment variable; empty when neither names one and the embedded
+/// defaults apply.
+std::string findSettingsFile(const cxxopts::ParseResult &options)
 {
     if (options.count("settings")) {
         return options["settings"].as<std::string>();
     }
-    const char *named = std::getenv(platform::SettingsVariable);
-    return named ? named : "";
+    const char *fromEnvironment = std::getenv(platform::SettingsVariable);
+    return fromEnvironment ? fromEnvironment : "";
 }
 
 Result<Settings> loadSettings(const cxxopts::ParseResult &options)
 {
-    const std::string file = settingsFileOf(options);
+    const std::string file = findSettingsFile(options);
     if (file.empty()) {
         return parseSettings("", "embedded defaults");
     }
@@ -44,30 +45,32 @@
     return parseSettings(valueOf(text), file);
 }
 
-/// Takes over changed settings until SIGTERM or SIGINT comes. Every thread has blocked the signals. Settings that can't be read change
-/// nothing: the daemon goes on with what it has.
-void waitForShutdown(const sigset_t &signals, SettingsWatch &watch, Daemon &daemon)
+/// Reloads the settings whenever their file changes or SIGHUP arrives, and returns on SIGTERM or SIGINT. These signals are blocked in
+/// all threads. Unreadable or invalid settings change nothing: the daemon keeps the settings in force.
+void reloadUntilShutdown(const sigset_t &signals, SettingsWatch &settingsWatch, Daemon &daemon)
 {
     const timespec interval{.tv_sec = SettingsWatch::PollIntervalSeconds, .tv_nsec = 0};
     while (true) {
-        const int number = sigtimedwait(&signals, nullptr, &interval);
-        if (number == SIGTERM || number == SIGINT) {
+        const int signalNumber = sigtimedwait(&signals, nullptr, &interval);
+        if (signalNumber == SIGTERM || signalNumber == SIGINT) {
             return;
         }
-        const std::optional<Result<Settings>> changed = watch.changed(number == SIGHUP);
-        if (!changed) {
+        const std::optional<Result<Settings>> newSettings = settingsWatch.changed(signalNumber == SIGHUP);
+        if (!newSettings) {
             continue;
         }
-        if (!ok(*changed)) {
-            logWarning("daemon", "settings-refused", {{"why", errorOf(*changed).message}});
+        if (!ok(*newSettings)) {
+            logWarning("daemon", "settings-refused", {{"why", errorOf(*newSettings).message}});
             continue;
         }
-        daemon.reload(valueOf(*changed));
-        logChange("daemon", "settings-reloaded", {{"replicas", std::to_string(valueOf(*changed).replicas.size())}});
+        daemon.reload(valueOf(*newSettings));
+        logChange("daemon", "settings-reloaded", {{"replicas", std::to_string(valueOf(*newSettings).replicas.size())}});
     }
 }
 
-int run(const Settings &settings, const std::string &settingsFile)
+/// Runs the daemon until a signal shuts it down and its requests have ended, and returns the exit code. Exits the process directly when the
+/// requests outlast the drain limit.
+int runDaemon(const Settings &settings, const std::string &settingsFile)
 {
     sigset_t signals;
     sigemptyset(&signals);
@@ -86,19 +89,19 @@
     Daemon &daemon = *valueOf(started);
     logChange(
         "daemon", "started", {{"vm", settings.vm.value}, {"http_port", std::to_string(daemon.httpPort())}, {"rpc_port", std::to_string(daemon.rpcPort())}});
-    SettingsWatch watch(settingsFile);
-    waitForShutdown(signals, watch, daemon);
+    SettingsWatch settingsWatch(settingsFile);
+    reloadUntilShutdown(signals, settingsWatch, daemon);
     logChange("daemon", "shutdown-began");
-    std::promise<void> drained;
-    std::future<void> done = drained.get_future();
-    daemon.drain([&drained] { drained.set_value(); });
-    // A second signal does not cut requests short; a declared limit does, and says so.
-    if (settings.drainLimit && done.wait_for(*settings.drainLimit) != std::future_status::ready) {
+    std::promise<void> drainPromise;
+    std::future<void> drained = drainPromise.get_future();
+    daemon.drain([&drainPromise] { drainPromise.set_value(); });
+    // Only the drain limit of the settings cuts requests short, with a warning; a second signal doesn't.
+    if (settings.drainLimit && drained.wait_for(*settings.drainLimit) != std::future_status::ready) {
         logWarning("daemon", "drain-limit-passed", {{"limit_ms", std::to_string(settings.drainLimit->count())}});
         stopLog();
         std::_Exit(ExitFailed);
     }
-    done.wait();
+    drained.wait();
     logChange("daemon", "stopped");
     stopLog();
     return ExitOk;
@@ -130,9 +133,9 @@
             std::cout << "settings are valid\n";
             return ExitOk;
         }
-        return run(valueOf(settings), settingsFileOf(parsed));
-    } catch (const cxxopts::exceptions::exception &wrong) {
-        std::cerr << "cumindyked: " << wrong.what() << ": see cumindyked --help\n";
+        return runDaemon(valueOf(settings), findSettingsFile(parsed));
+    } catch (const cxxopts::exceptions::exception &error) {
+        std::cerr << "cumindyked: " << error.what() << ": see cumindyked --help\n";
         return ExitUsage;
     }
 }
