--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -22,7 +22,7 @@
 struct Command
 {
     const char *name;
-    const char *arguments;
+    const char *argumentsHelp;
     const char *summary;
     std::size_t minArguments;
     std::size_t maxArguments;
@@ -30,7 +30,7 @@
 };
 
 /// Reads the declarations of a folder and validates them as a whole.
-Result<Declarations> loadFolder(const std::string &folder)
+Result<Declarations> loadDeclarations(const std::string &folder)
 {
     const auto changes = readDeclarations(folder);
     if (!ok(changes)) {
@@ -49,7 +49,7 @@
 /// Compares a folder's declarations with those in force at the daemon.
 Result<Difference> compareWithDaemon(const std::string &folder, OperatorClient &client)
 {
-    const Result<Declarations> target = loadFolder(folder);
+    const Result<Declarations> target = loadDeclarations(folder);
     if (!ok(target)) {
         return errorOf(target);
     }
@@ -66,7 +66,7 @@
 
 ExitCode checkCommand(const Context &context)
 {
-    const Result<Declarations> loaded = loadFolder(context.arguments[0]);
+    const Result<Declarations> loaded = loadDeclarations(context.arguments[0]);
     if (!ok(loaded)) {
         return printError(errorOf(loaded));
     }
@@ -227,7 +227,7 @@
 {
     std::cout << "Usage: cumindykectl COMMAND [ARGUMENTS] [OPTIONS]\n\nCommands:\n";
     for (const Command &command : Commands) {
-        std::string usage = std::string(command.name) + " " + command.arguments;
+        std::string usage = std::string(command.name) + " " + command.argumentsHelp;
         usage.resize(std::max<std::size_t>(usage.size(), 40), ' ');
         std::cout << "  " << usage << command.summary << "\n";
     }
@@ -237,7 +237,7 @@
 ExitCode runCommand(const Command &command, int argc, char **argv)
 {
     cxxopts::Options options = makeOptions(std::string("cumindykectl ") + command.name);
-    options.positional_help(command.arguments);
+    options.positional_help(command.argumentsHelp);
     options.custom_help("[OPTIONS]");
     options.add_options("arguments")("arguments", "", cxxopts::value<std::vector<std::string>>());
     options.parse_positional({"arguments"});
@@ -261,7 +261,7 @@
             context.arguments = parsed["arguments"].as<std::vector<std::string>>();
         }
         if (context.arguments.size() < command.minArguments || context.arguments.size() > command.maxArguments) {
-            std::cerr << "cumindykectl: usage: cumindykectl " << command.name << " " << command.arguments << "\n";
+            std::cerr << "cumindykectl: usage: cumindykectl " << command.name << " " << command.argumentsHelp << "\n";
             return ExitUsage;
         }
         if (const std::optional<TlsFiles> tls = context.tls()) {
