--- a/src/raft/core.h
+++ b/src/raft/core.h
@@ -88,7 +88,9 @@
 
     Core(CoreOptions options, const Recovered &recovered, std::uint64_t seed, TimePoint now);
 
+    /// Handles a message from another replica.
     void step(const v1::RaftMessage &message, TimePoint now);
+    /// Starts elections, sends heartbeats and checks timeouts that are due. Call periodically.
     void tick(TimePoint now);
     /// Appends a command to the log of the leader and returns its index; empty if this replica is not the leader. The command may still be
     /// lost until it is committed.
@@ -104,6 +106,7 @@
     /// Returns the voter with the longest log: the best target of a leadership transfer.
     std::optional<VmName> bestSuccessor() const;
 
+    /// Returns the effects accumulated since the last call.
     Effects takeEffects();
     /// Call once the writes returned by the last takeEffects() are durable.
     void onSynced(TimePoint now);
--- a/src/raft/replicatedlog.h
+++ b/src/raft/replicatedlog.h
@@ -51,6 +51,7 @@
     /// Starts the replica. Call after the signals are connected and before any of the functions below. Emits snapshotInstalled() if there
     /// is a snapshot.
     void start(TimePoint now);
+    /// Handles a message from another VM.
     void step(const v1::RaftMessage &message, TimePoint now);
     /// Call about every 50 ms.
     void tick(TimePoint now);
