--- a/src/control/controltask.cpp
+++ b/src/control/controltask.cpp
@@ -255,7 +255,7 @@
     m_configurationChanged.connect(subscription.changed);
 }
 
-void ControlTask::handle(TallyNotice &notice)
+void ControlTask::handle(TallyUpdate &notice)
 {
     m_tally = std::move(notice.tally);
 }
--- a/src/control/controltask.h
+++ b/src/control/controltask.h
@@ -82,7 +82,7 @@
 };
 
 /// What this VM's entry counts: goes to the leader with the next beat.
-struct TallyNotice
+struct TallyUpdate
 {
     v1::EntryTally tally;
 };
@@ -105,7 +105,7 @@
 };
 
 using ControlMessage = std::
-    variant<Proposal, Question, StateQuery, FollowerQuery, Watch, Subscription, TallyNotice, CandidatesNotice, DrainNotice, DepartureNotice, PeerMessage>;
+    variant<Proposal, Question, StateQuery, FollowerQuery, Watch, Subscription, TallyUpdate, CandidatesNotice, DrainNotice, DepartureNotice, PeerMessage>;
 
 struct ControlOptions
 {
@@ -182,7 +182,7 @@
     void handle(FollowerQuery &query);
     void handle(Watch &watch);
     void handle(Subscription &subscription);
-    void handle(TallyNotice &notice);
+    void handle(TallyUpdate &notice);
     void handle(CandidatesNotice &notice);
     void handle(DrainNotice &notice);
     void handle(DepartureNotice &notice);
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -95,7 +95,7 @@
         // Without datagrams each VM places its own requests.
         .datagrams = datagramAddress(settings, settings.peerPort),
         .limitTolerance = settings.limitSlack / LimitToleranceDivisor,
-        .sendTally = [control = m_controlTask.get()](v1::EntryTally tally) { control->post(TallyNotice{std::move(tally)}); },
+        .sendTally = [control = m_controlTask.get()](v1::EntryTally tally) { control->post(TallyUpdate{std::move(tally)}); },
     };
     auto proxy = ProxyTask::open(std::move(options), m_metrics);
     if (!ok(proxy)) {
