--- a/src/control/controltask.cpp
+++ b/src/control/controltask.cpp
@@ -260,7 +260,7 @@
     m_tally = std::move(notice.tally);
 }
 
-void ControlTask::handle(CandidatesNotice &notice)
+void ControlTask::handle(CandidatesUpdate &notice)
 {
     m_search.setCandidates(notice.replicas);
 }
--- a/src/control/controltask.h
+++ b/src/control/controltask.h
@@ -88,7 +88,7 @@
 };
 
 /// Other VMs to ask for the leader, after a change of the settings.
-struct CandidatesNotice
+struct CandidatesUpdate
 {
     std::vector<VmName> replicas;
 };
@@ -105,7 +105,7 @@
 };
 
 using ControlMessage = std::
-    variant<Proposal, Question, StateQuery, FollowerQuery, Watch, Subscription, TallyUpdate, CandidatesNotice, DrainNotice, DepartureNotice, PeerMessage>;
+    variant<Proposal, Question, StateQuery, FollowerQuery, Watch, Subscription, TallyUpdate, CandidatesUpdate, DrainNotice, DepartureNotice, PeerMessage>;
 
 struct ControlOptions
 {
@@ -183,7 +183,7 @@
     void handle(Watch &watch);
     void handle(Subscription &subscription);
     void handle(TallyUpdate &notice);
-    void handle(CandidatesNotice &notice);
+    void handle(CandidatesUpdate &notice);
     void handle(DrainNotice &notice);
     void handle(DepartureNotice &notice);
     void handle(PeerMessage &message);
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -244,7 +244,7 @@
 
 void Daemon::reload(const Settings &settings)
 {
-    m_controlTask->post(CandidatesNotice{settings.replicas});
+    m_controlTask->post(CandidatesUpdate{settings.replicas});
 }
 
 void Daemon::drain(std::function<void()> drained)
