--- a/src/control/controltask.cpp
+++ b/src/control/controltask.cpp
@@ -265,7 +265,7 @@
     m_search.setCandidates(notice.replicas);
 }
 
-void ControlTask::handle(DrainNotice & /*notice*/)
+void ControlTask::handle(DrainStarted & /*notice*/)
 {
     m_follower.setDraining(true);
     if (m_log) {
--- a/src/control/controltask.h
+++ b/src/control/controltask.h
@@ -94,7 +94,7 @@
 };
 
 /// A graceful shutdown has begun: cells go to other VMs.
-struct DrainNotice
+struct DrainStarted
 {
 };
 
@@ -105,7 +105,7 @@
 };
 
 using ControlMessage = std::
-    variant<Proposal, Question, StateQuery, FollowerQuery, Watch, Subscription, TallyUpdate, CandidatesUpdate, DrainNotice, DepartureNotice, PeerMessage>;
+    variant<Proposal, Question, StateQuery, FollowerQuery, Watch, Subscription, TallyUpdate, CandidatesUpdate, DrainStarted, DepartureNotice, PeerMessage>;
 
 struct ControlOptions
 {
@@ -184,7 +184,7 @@
     void handle(Subscription &subscription);
     void handle(TallyUpdate &notice);
     void handle(CandidatesUpdate &notice);
-    void handle(DrainNotice &notice);
+    void handle(DrainStarted &notice);
     void handle(DepartureNotice &notice);
     void handle(PeerMessage &message);
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -249,7 +249,7 @@
 
 void Daemon::drain(std::function<void()> drained)
 {
-    m_controlTask->post(DrainNotice{});
+    m_controlTask->post(DrainStarted{});
     if (m_proxyTask) {
         m_proxyTask->post(ProxyDrain{std::move(drained)});
     } else if (m_entryTask) {
