--- a/src/control/controltask.cpp
+++ b/src/control/controltask.cpp
@@ -274,7 +274,7 @@
     beat(EventLoop::now());
 }
 
-void ControlTask::handle(DepartureNotice &notice)
+void ControlTask::handle(DepartureRequest &notice)
 {
     m_left = std::move(notice.left);
     m_leaveBy = EventLoop::now() + DepartureLimit;
--- a/src/control/controltask.h
+++ b/src/control/controltask.h
@@ -99,13 +99,13 @@
 };
 
 /// The VM's process is about to end: "left" is called once another replica leads, or after the time an election takes.
-struct DepartureNotice
+struct DepartureRequest
 {
     std::function<void()> left;
 };
 
 using ControlMessage = std::
-    variant<Proposal, Question, StateQuery, FollowerQuery, Watch, Subscription, TallyUpdate, CandidatesUpdate, DrainStarted, DepartureNotice, PeerMessage>;
+    variant<Proposal, Question, StateQuery, FollowerQuery, Watch, Subscription, TallyUpdate, CandidatesUpdate, DrainStarted, DepartureRequest, PeerMessage>;
 
 struct ControlOptions
 {
@@ -185,7 +185,7 @@
     void handle(TallyUpdate &notice);
     void handle(CandidatesUpdate &notice);
     void handle(DrainStarted &notice);
-    void handle(DepartureNotice &notice);
+    void handle(DepartureRequest &notice);
     void handle(PeerMessage &message);
 
     // The leader's side.
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -255,7 +255,7 @@
     } else if (m_entryTask) {
         m_entryTask->post(DrainRequest{std::move(drained)});
     } else {
-        m_controlTask->post(DepartureNotice{std::move(drained)});
+        m_controlTask->post(DepartureRequest{std::move(drained)});
     }
 }
 
