--- a/src/control/controltask.h
+++ b/src/control/controltask.h
@@ -131,7 +131,7 @@
     Duration replaceReplicaAfter = std::chrono::seconds(30);
     /// Where beats and leases come in and, on other VMs, go to; without it they go by "send".
     std::optional<Address> datagrams;
-    std::optional<SpreadMetrics> metrics;
+    std::optional<DistributionMetrics> metrics;
     PeerSender send;
 };
 
--- a/src/control/distributionlog.h
+++ b/src/control/distributionlog.h
@@ -15,7 +15,7 @@
 class SpreadLog
 {
 public:
-    explicit SpreadLog(const std::optional<SpreadMetrics> &metrics)
+    explicit SpreadLog(const std::optional<DistributionMetrics> &metrics)
         : m_metrics(metrics)
     {
     }
@@ -48,7 +48,7 @@
     void stop();
 
 private:
-    std::optional<SpreadMetrics> m_metrics;
+    std::optional<DistributionMetrics> m_metrics;
     std::optional<std::uint64_t> m_spreading;
     TimePoint m_publishedAt{};
     TimePoint m_nextRepairLine{};
--- a/src/control/distributionmetrics.h
+++ b/src/control/distributionmetrics.h
@@ -6,7 +6,7 @@
 {
 
 /// What the leader counts of how versions reach the VMs. Only the VM that leads adds to it.
-struct SpreadMetrics
+struct DistributionMetrics
 {
     Counter published;
     Counter confirmed;
@@ -15,9 +15,9 @@
     Histogram secondsToConfirm;
     Histogram secondsToForce;
 
-    static SpreadMetrics of(Metrics &metrics)
+    static DistributionMetrics of(Metrics &metrics)
     {
-        return SpreadMetrics{
+        return DistributionMetrics{
             .published = metrics.counter("cumindyke_versions_published_total", "Versions that the leader sent to the VMs"),
             .confirmed = metrics.counter("cumindyke_versions_confirmed_total", "Versions that were certain to be in force in time"),
             .repairs = metrics.counter("cumindyke_update_repairs_total", "Updates sent to VMs that lacked a version"),
--- a/src/control/leadership.h
+++ b/src/control/leadership.h
@@ -27,7 +27,7 @@
     std::function<bool(TimePoint now)> hasQuorum;
     /// The voting replicas of the log; may be left out.
     std::function<google::protobuf::RepeatedPtrField<std::string>()> replicas = {};
-    std::optional<SpreadMetrics> metrics = {};
+    std::optional<DistributionMetrics> metrics = {};
 };
 
 /// What the leader does besides the log: it brings each accepted version to every VM, grants configuration leases, and assigns cells.
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -156,7 +156,7 @@
         .confirmWithin = settings.confirmWithin,
         .replaceReplicaAfter = settings.replaceReplicaAfter,
         .datagrams = datagramAddress(settings, settings.leasePort),
-        .metrics = SpreadMetrics::of(m_metrics),
+        .metrics = DistributionMetrics::of(m_metrics),
         .send = [this](const VmName &to, v1::Envelope envelope) { send(to, std::move(envelope)); },
     });
     if (!ok(control)) {
