--- a/src/control/distributionlog.cpp
+++ b/src/control/distributionlog.cpp
@@ -12,7 +12,7 @@
 
 }
 
-void SpreadLog::published(const Publication &publication, TimePoint now)
+void DistributionLog::published(const Publication &publication, TimePoint now)
 {
     m_spreading = publication.version;
     m_publishedAt = now;
@@ -27,7 +27,7 @@
                {"vms", std::to_string(publication.vms)}});
 }
 
-void SpreadLog::repaired(std::size_t updateBytes)
+void DistributionLog::repaired(std::size_t updateBytes)
 {
     m_repairs += 1;
     m_repairBytes += updateBytes;
@@ -37,7 +37,7 @@
     }
 }
 
-void SpreadLog::confirmed(std::uint64_t version, Duration waited)
+void DistributionLog::confirmed(std::uint64_t version, Duration waited)
 {
     logChange("control", "version-confirmed", {{"version", std::to_string(version)}, {"after_ms", std::to_string(wholeMilliseconds(waited))}});
     if (m_metrics) {
@@ -46,7 +46,7 @@
     }
 }
 
-void SpreadLog::look(std::size_t pending, std::size_t lapsed, TimePoint now)
+void DistributionLog::look(std::size_t pending, std::size_t lapsed, TimePoint now)
 {
     if (m_spreading && pending == 0) {
         logChange("control",
@@ -69,7 +69,7 @@
     }
 }
 
-void SpreadLog::stop()
+void DistributionLog::stop()
 {
     m_spreading.reset();
     m_repairs = 0;
--- a/src/control/distributionlog.h
+++ b/src/control/distributionlog.h
@@ -12,10 +12,10 @@
 
 /// The leader's lines and counts on how versions reach the VMs: one line for each published version, one when it is in force, and one a second for all
 /// repairs.
-class SpreadLog
+class DistributionLog
 {
 public:
-    explicit SpreadLog(const std::optional<DistributionMetrics> &metrics)
+    explicit DistributionLog(const std::optional<DistributionMetrics> &metrics)
         : m_metrics(metrics)
     {
     }
--- a/src/control/leadership.h
+++ b/src/control/leadership.h
@@ -104,7 +104,7 @@
     std::map<VmName, Holding> m_repairs;
     std::vector<Wait> m_waits;
     std::vector<Confirmation> m_confirmations;
-    SpreadLog m_spreadLog;
+    DistributionLog m_spreadLog;
 };
 
 }
