--- a/src/control/controltask.h
+++ b/src/control/controltask.h
@@ -240,7 +240,7 @@
     Follower m_follower;
     Watchers m_watchers;
     bool m_watchersAsk = false;
-    BeatSchedule m_beats;
+    HeartbeatSchedule m_beats;
     /// A hint was followed since another candidate was asked, or since the last lease.
     bool m_hintFollowed = false;
     bool m_hadLease = false;
--- a/src/control/heartbeatschedule.cpp
+++ b/src/control/heartbeatschedule.cpp
@@ -23,13 +23,13 @@
 
 }
 
-void BeatSchedule::start(TimePoint now)
+void HeartbeatSchedule::start(TimePoint now)
 {
     m_next = now;
     m_askAnotherAt = now + LeaderSilence;
 }
 
-void BeatSchedule::sent(TimePoint now)
+void HeartbeatSchedule::sent(TimePoint now)
 {
     const bool isRepeat = std::exchange(m_unanswered, true);
     m_last = now;
@@ -38,12 +38,12 @@
     m_settling = std::max(0, m_settling - 1);
 }
 
-void BeatSchedule::askedAnother(TimePoint now)
+void HeartbeatSchedule::askedAnother(TimePoint now)
 {
     m_askAnotherAt = now + SearchInterval;
 }
 
-void BeatSchedule::answered()
+void HeartbeatSchedule::answered()
 {
     m_unanswered = false;
     if (std::exchange(m_nextIsRepeat, false)) {
@@ -51,12 +51,12 @@
     }
 }
 
-void BeatSchedule::granted(TimePoint now)
+void HeartbeatSchedule::granted(TimePoint now)
 {
     m_askAnotherAt = now + LeaderSilence;
 }
 
-void BeatSchedule::settle(TimePoint now)
+void HeartbeatSchedule::settle(TimePoint now)
 {
     m_settling = SettlingBeats;
     m_next = std::min(m_next, now + SettlingInterval);
--- a/src/control/heartbeatschedule.h
+++ b/src/control/heartbeatschedule.h
@@ -6,11 +6,11 @@
 {
 
 /// When a VM sends its next beat, and when it asks another VM for a lease. Pure: time is an argument.
-class BeatSchedule
+class HeartbeatSchedule
 {
 public:
     /// "mayBeLost": beats go by datagrams.
-    explicit BeatSchedule(bool mayBeLost)
+    explicit HeartbeatSchedule(bool mayBeLost)
         : m_mayBeLost(mayBeLost)
     {
     }
--- a/tests/control/heartbeatscheduletest.cpp
+++ b/tests/control/heartbeatscheduletest.cpp
@@ -18,7 +18,7 @@
 
 TEST_CASE("a VM beats at once when it starts, then twice a second, and soon after its first lease")
 {
-    BeatSchedule beats(false);
+    HeartbeatSchedule beats(false);
     beats.start(Start);
     CHECK(beats.isDue(Start));
     beats.sent(Start);
@@ -45,7 +45,7 @@
 // Guards against a lease that lapses by one lost datagram, and against a leader that gets the more beats the slower it answers.
 TEST_CASE("a beat by datagram that nothing answered is repeated soon, once")
 {
-    BeatSchedule beats(true);
+    HeartbeatSchedule beats(true);
     beats.start(Start);
     beats.sent(Start);
     SECTION("answered")
@@ -66,7 +66,7 @@
 
 TEST_CASE("another VM is asked when nobody granted a lease, and the next one sooner")
 {
-    BeatSchedule beats(true);
+    HeartbeatSchedule beats(true);
     beats.start(Start);
     CHECK_FALSE(beats.mustAskAnother(after(699)));
     CHECK(beats.mustAskAnother(after(700)));
