--- a/src/control/fleetaggregate.cpp
+++ b/src/control/fleetaggregate.cpp
@@ -38,7 +38,7 @@
 
 }
 
-void FleetTallies::take(const VmName &vm, std::uint64_t incarnation, const v1::EntryTally &tally, TimePoint now)
+void FleetAggregate::take(const VmName &vm, std::uint64_t incarnation, const v1::EntryTally &tally, TimePoint now)
 {
     const bool isNew = !m_vms.contains(vm);
     Vm &known = m_vms[vm];
@@ -59,14 +59,14 @@
     known.heard = now;
 }
 
-void FleetTallies::remember(Vm &vm, const v1::EntryTally &tally)
+void FleetAggregate::remember(Vm &vm, const v1::EntryTally &tally)
 {
     for (const v1::VersionCounts &counts : tally.versions()) {
         vm.counts[{counts.service(), counts.version()}] = counts;
     }
 }
 
-void FleetTallies::grow(Vm &vm, const v1::EntryTally &tally)
+void FleetAggregate::grow(Vm &vm, const v1::EntryTally &tally)
 {
     for (const v1::VersionCounts &counts : tally.versions()) {
         const VersionKey key{counts.service(), counts.version()};
@@ -75,7 +75,7 @@
     remember(vm, tally);
 }
 
-const v1::FleetTally &FleetTallies::fleet(TimePoint now)
+const v1::FleetTally &FleetAggregate::fleet(TimePoint now)
 {
     if (now >= m_nextLook) {
         m_fleet = makeFleet(now);
@@ -84,7 +84,7 @@
     return m_fleet;
 }
 
-v1::FleetTally FleetTallies::makeFleet(TimePoint now) const
+v1::FleetTally FleetAggregate::makeFleet(TimePoint now) const
 {
     v1::FleetTally fleet;
     std::map<std::string, std::vector<VmName>> placing;
@@ -112,7 +112,7 @@
     return fleet;
 }
 
-std::map<std::string, v1::VersionCounts> FleetTallies::versionsSince(const std::string &service, const std::string &mark)
+std::map<std::string, v1::VersionCounts> FleetAggregate::versionsSince(const std::string &service, const std::string &mark)
 {
     const bool isNew = !m_marks.contains(mark);
     auto &base = m_marks[mark];
--- a/src/control/fleetaggregate.h
+++ b/src/control/fleetaggregate.h
@@ -12,7 +12,7 @@
 
 /// The leader's sums over what entry VMs tell with their beats: which VMs there are, and the answers of each version. Soft state: a new leader has the same
 /// sums again after one beat of each VM.
-class FleetTallies
+class FleetAggregate
 {
 public:
     /// The first of them are asked for places, the others in their stead. Leases that named all VMs would make the leader's bytes grow with the square of
@@ -27,7 +27,7 @@
     std::map<std::string, v1::VersionCounts> versionsSince(const std::string &service, const std::string &mark);
     void reset()
     {
-        *this = FleetTallies();
+        *this = FleetAggregate();
     }
 
 private:
--- a/src/control/leadership.h
+++ b/src/control/leadership.h
@@ -58,7 +58,7 @@
     std::vector<v1::CellAssignment> tick(TimePoint now);
     v1::MembersReply members(TimePoint now) const;
     /// What entry VMs count, for decisions on rollouts.
-    FleetTallies &tallies()
+    FleetAggregate &tallies()
     {
         return m_tallies;
     }
@@ -95,7 +95,7 @@
     const LeadershipOptions m_options;
     const StateMachine &m_state;
     Distribution m_distribution;
-    FleetTallies m_tallies;
+    FleetAggregate m_tallies;
     bool m_leads = false;
     std::uint64_t m_pushedVersion = 0;
     std::uint64_t m_pushedRoutes = 0;
--- a/src/control/rolloutleader.cpp
+++ b/src/control/rolloutleader.cpp
@@ -93,7 +93,7 @@
     return answers >= LeastAnswers ? VersionHealth::Sound : VersionHealth::Unproved;
 }
 
-std::vector<v1::RolloutVerdict> decideRollouts(const RolloutMap &rollouts, FleetTallies &tallies, WallTime now)
+std::vector<v1::RolloutVerdict> decideRollouts(const RolloutMap &rollouts, FleetAggregate &tallies, WallTime now)
 {
     std::vector<v1::RolloutVerdict> verdicts;
     for (const auto &[service, rollout] : rollouts) {
--- a/tests/control/fleetaggregatetest.cpp
+++ b/tests/control/fleetaggregatetest.cpp
@@ -22,7 +22,7 @@
 // What callers see: every request of a data centre waits until it is refused, because its VMs ask one that shuts down or is gone.
 TEST_CASE("VMs that shut down or have fallen silent are not named for placing requests")
 {
-    FleetTallies tallies;
+    FleetAggregate tallies;
     tallies.take(VmName{"vm-1"}, 7, tallyFrom("dc-a"), Start);
     tallies.take(VmName{"vm-2"}, 7, tallyFrom("dc-b"), Start + std::chrono::seconds(3));
     const v1::FleetTally both = tallies.fleet(Start + std::chrono::seconds(3));
@@ -38,13 +38,13 @@
 // Guards against leases that grow with the fleet: a leader whose bytes grow with the square of its VMs.
 TEST_CASE("of a large data centre only the VMs that are asked first are named, and the tally's digest changes only with what it says")
 {
-    FleetTallies tallies;
+    FleetAggregate tallies;
     for (int vm = 0; vm < 100; ++vm) {
         tallies.take(VmName{"10.0.0." + std::to_string(vm)}, 7, tallyFrom("dc-a"), Start);
     }
     const v1::FleetTally first = tallies.fleet(Start);
     CHECK(first.entry_vm_count() == 100);
-    REQUIRE(first.placement_vms_size() == static_cast<int>(FleetTallies::MostNamedOfDataCentre));
+    REQUIRE(first.placement_vms_size() == static_cast<int>(FleetAggregate::MostNamedOfDataCentre));
     for (int vm = 0; vm < 100; ++vm) {
         tallies.take(VmName{"10.0.0." + std::to_string(vm)}, 7, tallyFrom("dc-a"), Start + std::chrono::seconds(1));
     }
--- a/tests/control/rolloutstest.cpp
+++ b/tests/control/rolloutstest.cpp
@@ -45,7 +45,7 @@
 {
     RolloutMap rollouts;
     startRollout(rollouts, order("v2"), WallTime{OrderedAt});
-    FleetTallies tallies;
+    FleetAggregate tallies;
     const TimePoint start{std::chrono::seconds(1)};
     tallies.take(VmName{"vm"}, 1, {}, start);
     decideRollouts(rollouts, tallies, WallTime{OrderedAt});
