--- a/tests/control/distributionrig.cpp
+++ b/tests/control/distributionrig.cpp
@@ -30,7 +30,7 @@
 
 }
 
-SpreadRig::SpreadRig(SpreadRigOptions options)
+DistributionRig::DistributionRig(SpreadRigOptions options)
     : m_options(options)
     , m_random(options.seed)
     , m_vms(static_cast<std::size_t>(options.coreVms + options.entryVms))
@@ -43,7 +43,7 @@
     elect(0);
 }
 
-std::unique_ptr<Follower> SpreadRig::newFollower(int number)
+std::unique_ptr<Follower> DistributionRig::newFollower(int number)
 {
     return std::make_unique<Follower>(FollowerOptions{
         .vm = nameOf(number),
@@ -53,7 +53,7 @@
     });
 }
 
-void SpreadRig::restartFollowers(Duration within)
+void DistributionRig::restartFollowers(Duration within)
 {
     for (int i = 0; i < size(); ++i) {
         vm(i).bytesSent = 0;
@@ -66,17 +66,17 @@
     }
 }
 
-VmName SpreadRig::nameOf(int vm)
+VmName DistributionRig::nameOf(int vm)
 {
     return VmName{std::to_string(vm)};
 }
 
-int SpreadRig::numberOf(const VmName &name)
+int DistributionRig::numberOf(const VmName &name)
 {
     return std::stoi(name.value);
 }
 
-void SpreadRig::elect(int number)
+void DistributionRig::elect(int number)
 {
     m_leader = number;
     m_leadership = std::make_unique<Leadership>(LeadershipOptions{
@@ -90,12 +90,12 @@
     m_leadership->lead(m_now);
 }
 
-void SpreadRig::silence(int number)
+void DistributionRig::silence(int number)
 {
     vm(number).silent = true;
 }
 
-void SpreadRig::publish(const v1::RouteTable &table)
+void DistributionRig::publish(const v1::RouteTable &table)
 {
     v1::Command command;
     command.set_command_id("publish-" + std::to_string(table.version()));
@@ -112,13 +112,13 @@
     m_leadership->applied(m_now);
 }
 
-std::uint64_t SpreadRig::routesOn(int vm) const
+std::uint64_t DistributionRig::routesOn(int vm) const
 {
     const auto &routes = follower(vm).routes();
     return routes ? routes->version() : 0;
 }
 
-std::vector<Duration> SpreadRig::timesInForce() const
+std::vector<Duration> DistributionRig::timesInForce() const
 {
     std::vector<Duration> times;
     for (const Vm &vm : m_vms) {
@@ -130,7 +130,7 @@
     return times;
 }
 
-std::size_t SpreadRig::mostBytesFromEntryVm() const
+std::size_t DistributionRig::mostBytesFromEntryVm() const
 {
     std::size_t most = 0;
     for (std::size_t i = static_cast<std::size_t>(m_options.coreVms); i < m_vms.size(); ++i) {
@@ -139,12 +139,12 @@
     return most;
 }
 
-void SpreadRig::at(TimePoint time, std::function<void()> happen)
+void DistributionRig::at(TimePoint time, std::function<void()> happen)
 {
     m_events.push(Event{.at = time, .number = ++m_eventCount, .happen = std::move(happen)});
 }
 
-void SpreadRig::send(int from, const VmName &to, v1::Envelope envelope)
+void DistributionRig::send(int from, const VmName &to, v1::Envelope envelope)
 {
     const int target = numberOf(to);
     if (from == target) {
@@ -160,14 +160,14 @@
     startCalls(from, target);
 }
 
-void SpreadRig::startCalls(int from, int to)
+void DistributionRig::startCalls(int from, int to)
 {
     while (std::optional<OutgoingBatch> batch = vm(from).queues.at(to).next()) {
         startCall(from, to, std::move(*batch));
     }
 }
 
-void SpreadRig::startCall(int from, int to, OutgoingBatch batch)
+void DistributionRig::startCall(int from, int to, OutgoingBatch batch)
 {
     Vm &sender = vm(from);
     Vm &receiver = vm(to);
@@ -193,7 +193,7 @@
     });
 }
 
-void SpreadRig::deliver(int from, int to, const v1::Envelope &envelope)
+void DistributionRig::deliver(int from, int to, const v1::Envelope &envelope)
 {
     if (envelope.has_config_heartbeat() && to == m_leader) {
         m_leadership->heartbeat(nameOf(from), envelope.config_heartbeat(), m_now);
@@ -204,7 +204,7 @@
     }
 }
 
-void SpreadRig::takeUpdate(int number, const v1::ConfigUpdate &update)
+void DistributionRig::takeUpdate(int number, const v1::ConfigUpdate &update)
 {
     v1::Envelope relayed;
     *relayed.mutable_config_update() = update;
@@ -222,7 +222,7 @@
     beat(number);
 }
 
-void SpreadRig::beat(int number)
+void DistributionRig::beat(int number)
 {
     Vm &held = vm(number);
     held.nextBeat = m_now + BeatInterval;
@@ -231,7 +231,7 @@
     send(number, nameOf(m_leader), std::move(envelope));
 }
 
-void SpreadRig::run(Duration time)
+void DistributionRig::run(Duration time)
 {
     const TimePoint end = m_now + time;
     for (; m_now < end; m_now += TickInterval) {
--- a/tests/control/distributionrig.h
+++ b/tests/control/distributionrig.h
@@ -29,10 +29,10 @@
     std::uint64_t seed = 1;
 };
 
-class SpreadRig
+class DistributionRig
 {
 public:
-    explicit SpreadRig(SpreadRigOptions options);
+    explicit DistributionRig(SpreadRigOptions options);
 
     void run(Duration time);
     /// Nothing reaches the VM or comes from it from now on, and nobody is told.
--- a/tests/control/largeconfigurationtest.cpp
+++ b/tests/control/largeconfigurationtest.cpp
@@ -20,7 +20,7 @@
 // Guards against a leader that sends a large table again at each beat of a VM that still waits for it, until it loses its lead or its memory.
 TEST_CASE("a change of many routes is in force on every VM behind narrow links in time, and the leader's messages stay small")
 {
-    SpreadRig rig({});
+    DistributionRig rig({});
     rig.publish(routeTable(1, 8));
     rig.run(std::chrono::seconds(4));
     for (std::uint64_t change = 1; change <= 3; ++change) {
@@ -43,7 +43,7 @@
 // Guards against VMs that wait for a parent in the fan-out tree that is dead, and against a leader that sends them all more than it can carry.
 TEST_CASE("VMs below a silent one in the fan-out tree have a change of many routes in time")
 {
-    SpreadRig rig({});
+    DistributionRig rig({});
     rig.publish(routeTable(1, 1'400));
     rig.run(std::chrono::seconds(4));
     for (const int lost : {1, 2, 30}) {
@@ -58,7 +58,7 @@
 // Guards against a new leader to which every VM seems to lack everything, after one that ended in the middle of a fan-out.
 TEST_CASE("a change of many routes whose leader ends in the middle of the fan-out is in force in time after the election")
 {
-    SpreadRig rig({});
+    DistributionRig rig({});
     rig.publish(routeTable(1, 1'400));
     rig.run(std::chrono::seconds(4));
     rig.publish(routeTable(2, 2'800));
@@ -77,7 +77,7 @@
 {
     constexpr Duration StartedWithin = std::chrono::milliseconds(300);
     constexpr Duration ServingWithin = std::chrono::seconds(2);
-    SpreadRig rig({.entryVms = 300});
+    DistributionRig rig({.entryVms = 300});
     rig.publish(routeTable(1, 300));
     rig.run(std::chrono::seconds(4));
     rig.restartFollowers(StartedWithin);
@@ -97,7 +97,7 @@
     std::cout << "vms routes p50_ms p99_ms worst_ms leader_bytes entry_bytes leader_peak_bytes\n";
     for (const int entryVms : {9, 78, 340}) {
         for (const int changed : {1, 1'400}) {
-            SpreadRig rig({.coreVms = entryVms < 10 ? 5 : 9, .entryVms = entryVms});
+            DistributionRig rig({.coreVms = entryVms < 10 ? 5 : 9, .entryVms = entryVms});
             rig.publish(routeTable(1, 1'400));
             rig.run(std::chrono::seconds(8));
             rig.publish(routeTable(2, 1'400 + changed));
