--- a/tests/control/distributionrig.cpp
+++ b/tests/control/distributionrig.cpp
@@ -30,7 +30,7 @@
 
 }
 
-DistributionRig::DistributionRig(SpreadRigOptions options)
+DistributionRig::DistributionRig(DistributionRigOptions options)
     : m_options(options)
     , m_random(options.seed)
     , m_vms(static_cast<std::size_t>(options.coreVms + options.entryVms))
--- a/tests/control/distributionrig.h
+++ b/tests/control/distributionrig.h
@@ -16,7 +16,7 @@
 namespace cumindyke::test
 {
 
-struct SpreadRigOptions
+struct DistributionRigOptions
 {
     /// The first one leads.
     int coreVms = 9;
@@ -32,7 +32,7 @@
 class DistributionRig
 {
 public:
-    explicit DistributionRig(SpreadRigOptions options);
+    explicit DistributionRig(DistributionRigOptions options);
 
     void run(Duration time);
     /// Nothing reaches the VM or comes from it from now on, and nobody is told.
@@ -133,7 +133,7 @@
     void beat(int vm);
     void takeUpdate(int vm, const v1::ConfigUpdate &update);
 
-    SpreadRigOptions m_options;
+    DistributionRigOptions m_options;
     std::mt19937_64 m_random;
     TimePoint m_now{std::chrono::hours(1)};
     TimePoint m_publishedAt{};
