--- a/src/control/controltask.cpp
+++ b/src/control/controltask.cpp
@@ -82,7 +82,7 @@
 
 void ControlTask::start()
 {
-    m_beats.start(EventLoop::now());
+    m_heartbeatSchedule.start(EventLoop::now());
     m_tick.startEvery(TickInterval);
     m_thread = std::thread([this] { m_loop.run(); });
 }
@@ -104,7 +104,7 @@
                    },
                    m_state)
     , m_orders(m_loop, {}, randomIncarnation())
-    , m_search(leaderCandidates(m_options))
+    , m_leaderSearch(leaderCandidates(m_options))
     , m_forwarder({}, randomIncarnation())
     , m_follower(FollowerOptions{
           .vm = m_options.vm,
@@ -112,7 +112,7 @@
           .incarnation = randomIncarnation(),
           .keepAdmitting = m_options.keepAdmitting,
       })
-    , m_beats(m_options.datagrams.has_value())
+    , m_heartbeatSchedule(m_options.datagrams.has_value())
 {
 }
 
@@ -182,12 +182,12 @@
     if (now >= m_nextLook) {
         decideMoves(now);
     }
-    if (m_beats.mustAskAnother(now)) {
-        m_search.gaveNoAnswer(m_search.leader());
+    if (m_heartbeatSchedule.mustAskNextCandidate(now)) {
+        m_leaderSearch.onNoReply(m_leaderSearch.leader());
         askForLease(now);
     }
-    if (m_beats.isDue(now)) {
-        beat(now);
+    if (m_heartbeatSchedule.isDue(now)) {
+        sendHeartbeat(now);
     }
     if (m_hadLease && now >= m_follower.admitUntil()) {
         m_hadLease = false;
@@ -213,7 +213,7 @@
     v1::ProposeRequest request;
     request.set_command(proposal.command.SerializeAsString());
     const TimePoint now = EventLoop::now();
-    m_forwarder.add(std::move(request), std::move(proposal.answer), now);
+    m_forwarder.submit(std::move(request), std::move(proposal.answer), now);
     sendDue(now);
 }
 
@@ -229,7 +229,7 @@
         }
         answer(valueOf(reply).answer());
     };
-    m_forwarder.add(std::move(request), answer, now);
+    m_forwarder.submit(std::move(request), answer, now);
     sendDue(now);
 }
 
@@ -262,7 +262,7 @@
 
 void ControlTask::handle(CandidatesUpdate &notice)
 {
-    m_search.setCandidates(notice.replicas);
+    m_leaderSearch.setCandidates(notice.replicas);
 }
 
 void ControlTask::handle(DrainStarted & /*notice*/)
@@ -271,7 +271,7 @@
     if (m_log) {
         m_log->transferLeadership(EventLoop::now());
     }
-    beat(EventLoop::now());
+    sendHeartbeat(EventLoop::now());
 }
 
 void ControlTask::handle(DepartureRequest &notice)
@@ -300,7 +300,7 @@
         proposeHere(message.from, message.envelope.propose());
         break;
     case v1::Envelope::kProposeReply:
-        m_forwarder.replied(message.from, message.envelope.propose_reply(), m_search, EventLoop::now());
+        m_forwarder.handleReply(message.from, message.envelope.propose_reply(), m_leaderSearch, EventLoop::now());
         break;
     case v1::Envelope::kConfigHeartbeat:
         takeBeat(message.from, message.envelope.config_heartbeat());
@@ -363,34 +363,34 @@
 {
     if (m_leadership.leads()) {
         m_moveLeader.take(envelope.outcome_report());
-    } else if (from == m_options.vm && m_search.leader() != m_options.vm) {
-        m_options.send(m_search.leader(), std::move(envelope));
+    } else if (from == m_options.vm && m_leaderSearch.leader() != m_options.vm) {
+        m_options.send(m_leaderSearch.leader(), std::move(envelope));
     }
 }
 
 /// Asks whom this VM takes for the leader at once, and another one soon if there is no answer.
 void ControlTask::askForLease(TimePoint now)
 {
-    m_beats.askedAnother(now);
+    m_heartbeatSchedule.onNextCandidateAsked(now);
     m_hintFollowed = false;
-    beat(now);
+    sendHeartbeat(now);
 }
 
-void ControlTask::beat(TimePoint now)
+void ControlTask::sendHeartbeat(TimePoint now)
 {
-    m_beats.sent(now);
+    m_heartbeatSchedule.onSent(now);
     v1::Envelope envelope;
-    *envelope.mutable_config_heartbeat() = m_follower.beat(now);
+    *envelope.mutable_config_heartbeat() = m_follower.makeHeartbeat(now);
     if (m_tally) {
         *envelope.mutable_config_heartbeat()->mutable_tally() = *m_tally;
         envelope.mutable_config_heartbeat()->set_fleet_digest(m_fleet ? m_fleet->digest() : 0);
     }
-    sendSignal(m_search.leader(), std::move(envelope));
+    sendSignal(m_leaderSearch.leader(), std::move(envelope));
 }
 
 void ControlTask::sendDue(TimePoint now)
 {
-    for (Outgoing &outgoing : m_forwarder.due(m_search, now)) {
+    for (OutgoingEnvelope &outgoing : m_forwarder.dueRequests(m_leaderSearch, now)) {
         m_options.send(outgoing.to, std::move(outgoing.envelope));
     }
 }
@@ -404,38 +404,38 @@
         relayed.mutable_config_update()->mutable_relay()->Assign(branch.relay.begin(), branch.relay.end());
         m_options.send(branch.child, relayed);
     }
-    switch (m_follower.update(update)) {
-    case Follower::Taken::Old:
+    switch (m_follower.applyUpdate(update)) {
+    case Follower::UpdateResult::Outdated:
         return;
-    case Follower::Taken::Applied:
+    case Follower::UpdateResult::Applied:
         configurationIsNew();
         break;
-    case Follower::Taken::Gap:
+    case Follower::UpdateResult::Gap:
         break;
     }
     // At once, so that the leader knows that this VM has it in force, or repairs the gap.
-    beat(EventLoop::now());
+    sendHeartbeat(EventLoop::now());
 }
 
 void ControlTask::takeLease(const VmName &from, const v1::ConfigLease &lease)
 {
     const TimePoint now = EventLoop::now();
-    m_beats.answered();
+    m_heartbeatSchedule.onReply();
     if (lease.length_ms() == 0) {
-        const VmName before = m_search.leader();
-        m_search.learned(VmName{lease.leader()});
+        const VmName before = m_leaderSearch.leader();
+        m_leaderSearch.onLeaderHint(VmName{lease.leader()});
         // Followed at once, but one hint only: a chain of them that leads nowhere must not keep the next candidate from being asked.
-        if (m_search.leader() != before && !std::exchange(m_hintFollowed, true)) {
-            beat(now);
-            m_beats.askedAnother(now);
+        if (m_leaderSearch.leader() != before && !std::exchange(m_hintFollowed, true)) {
+            sendHeartbeat(now);
+            m_heartbeatSchedule.onNextCandidateAsked(now);
         }
         return;
     }
-    m_search.answered(from);
+    m_leaderSearch.onLeaderReply(from);
     m_hintFollowed = false;
-    m_search.learnedReplicas(namesIn(lease.replicas()));
-    m_beats.granted(now);
-    if (!m_follower.granted(lease)) {
+    m_leaderSearch.setReplicas(namesIn(lease.replicas()));
+    m_heartbeatSchedule.onLeaseGranted(now);
+    if (!m_follower.handleLease(lease)) {
         return;
     }
     if (lease.has_fleet()) {
@@ -443,7 +443,7 @@
     }
     if (!m_hadLease) {
         m_hadLease = true;
-        m_beats.settle(now);
+        m_heartbeatSchedule.startBurst(now);
         logChange("control", "lease-granted", {{"by", from.value}, {"version", std::to_string(m_follower.version())}});
     }
     m_configurationChanged.emit(configuration());
--- a/src/control/controltask.h
+++ b/src/control/controltask.h
@@ -199,8 +199,8 @@
     void sendReply(const VmName &to, std::uint64_t call, v1::ProposeReply reply);
     std::optional<v1::LeaderAnswer> answerHere(const v1::LeaderQuestion &question, TimePoint now) const;
     std::string hintFor(const VmName &asking) const;
-    void takeBeat(const VmName &from, const v1::ConfigHeartbeat &beat);
-    void sendHint(const VmName &to, const v1::ConfigHeartbeat &beat, const std::string &leader);
+    void takeBeat(const VmName &from, const v1::ConfigHeartbeat &heartbeat);
+    void sendHint(const VmName &to, const v1::ConfigHeartbeat &heartbeat, const std::string &leader);
     void answerWaitingBeats(TimePoint now);
 
     // The VM's side.
@@ -209,7 +209,7 @@
     void leaveIfReplaced(TimePoint now);
     void takeOutcomes(const VmName &from, v1::Envelope &envelope);
     void askForLease(TimePoint now);
-    void beat(TimePoint now);
+    void sendHeartbeat(TimePoint now);
     void sendDue(TimePoint now);
     void takeUpdate(const v1::ConfigUpdate &update);
     void takeLease(const VmName &from, const v1::ConfigLease &lease);
@@ -235,12 +235,12 @@
     TimePoint m_nextLook{};
     raft::Term m_ledTerm = 0;
     OrderRunner m_orders;
-    LeaderSearch m_search;
+    LeaderSearch m_leaderSearch;
     Forwarder m_forwarder;
     Follower m_follower;
     Watchers m_watchers;
     bool m_watchersAsk = false;
-    HeartbeatSchedule m_beats;
+    HeartbeatSchedule m_heartbeatSchedule;
     /// A hint was followed since another candidate was asked, or since the last lease.
     bool m_hintFollowed = false;
     bool m_hadLease = false;
--- a/src/control/controltaskleader.cpp
+++ b/src/control/controltaskleader.cpp
@@ -32,14 +32,14 @@
     // A VM without a replica offers itself every second. To every peer, that cost each VM traffic in proportion to all VMs; only the leader
     // takes an offer, and while it is not known the search asks all in turn.
     logOptions.send = [this](const VmName &to, v1::Envelope envelope) {
-        if (envelope.raft().kind() != v1::RaftMessage::STANDBY || to == m_search.leader()) {
+        if (envelope.raft().kind() != v1::RaftMessage::STANDBY || to == m_leaderSearch.leader()) {
             m_options.send(to, std::move(envelope));
         }
     };
     logOptions.formCluster = m_options.formCluster;
     logOptions.wantedVoters = m_options.wantedVoters;
     logOptions.replacementTimeout = m_options.replaceReplicaAfter;
-    logOptions.leaderHint = [this] { return m_search.leader(); };
+    logOptions.leaderHint = [this] { return m_leaderSearch.leader(); };
     auto log = raft::ReplicatedLog::open(std::move(logOptions));
     if (!ok(log)) {
         return errorOf(log);
@@ -71,9 +71,9 @@
         }
     });
     m_log->leaderChanged().connect([this](const std::optional<VmName> &leader) {
-        m_search.followed(leader);
+        m_leaderSearch.setFollowedLeader(leader);
         if (leader) {
-            m_search.learned(*leader);
+            m_leaderSearch.onLeaderHint(*leader);
         }
     });
 }
@@ -272,27 +272,27 @@
 /// Empty when this VM knows no better.
 std::string ControlTask::hintFor(const VmName &asking) const
 {
-    const VmName leader = m_search.hint().value_or(VmName{});
+    const VmName leader = m_leaderSearch.hint().value_or(VmName{});
     return leader == asking || leader == m_options.vm ? "" : leader.value;
 }
 
-void ControlTask::takeBeat(const VmName &from, const v1::ConfigHeartbeat &beat)
+void ControlTask::takeBeat(const VmName &from, const v1::ConfigHeartbeat &heartbeat)
 {
     if (m_leadership.leads()) {
-        m_leadership.heartbeat(from, beat, EventLoop::now());
+        m_leadership.heartbeat(from, heartbeat, EventLoop::now());
         return;
     }
     const std::string leader = hintFor(from);
     if (leader.empty() && m_log && m_unansweredBeats.size() < MostUnansweredBeats) {
-        m_unansweredBeats[from] = beat;
+        m_unansweredBeats[from] = heartbeat;
     }
-    sendHint(from, beat, leader);
+    sendHint(from, heartbeat, leader);
 }
 
-void ControlTask::sendHint(const VmName &to, const v1::ConfigHeartbeat &beat, const std::string &leader)
+void ControlTask::sendHint(const VmName &to, const v1::ConfigHeartbeat &heartbeat, const std::string &leader)
 {
     v1::Envelope hint;
-    hint.mutable_config_lease()->set_beat(beat.beat());
+    hint.mutable_config_lease()->set_beat(heartbeat.beat());
     hint.mutable_config_lease()->set_leader(leader);
     sendSignal(to, std::move(hint));
 }
@@ -305,16 +305,16 @@
         return;
     }
     const bool leads = m_leadership.leads();
-    const VmName leader = m_search.hint().value_or(VmName{});
+    const VmName leader = m_leaderSearch.hint().value_or(VmName{});
     if (!leads && (leader.value.empty() || leader == m_options.vm)) {
         return;
     }
     const std::map<VmName, v1::ConfigHeartbeat> waiting = std::exchange(m_unansweredBeats, {});
-    for (const auto &[vm, beat] : waiting) {
+    for (const auto &[vm, heartbeat] : waiting) {
         if (leads) {
-            m_leadership.heartbeat(vm, beat, now);
+            m_leadership.heartbeat(vm, heartbeat, now);
         } else {
-            sendHint(vm, beat, leader.value);
+            sendHint(vm, heartbeat, leader.value);
         }
     }
 }
--- a/src/control/distribution.cpp
+++ b/src/control/distribution.cpp
@@ -75,33 +75,33 @@
     return required;
 }
 
-std::optional<v1::ConfigLease> Distribution::heartbeat(const v1::ConfigHeartbeat &beat, bool hasQuorum, TimePoint now)
+std::optional<v1::ConfigLease> Distribution::heartbeat(const v1::ConfigHeartbeat &heartbeat, bool hasQuorum, TimePoint now)
 {
-    Vm &vm = m_vms[VmName{beat.vm()}];
-    if (vm.incarnation == beat.incarnation() && beat.beat() <= vm.lastBeat) {
+    Vm &vm = m_vms[VmName{heartbeat.vm()}];
+    if (vm.incarnation == heartbeat.incarnation() && heartbeat.beat() <= vm.lastBeat) {
         return {};
     }
-    if (vm.incarnation != beat.incarnation() || beat.version() >= vm.repairedTo) {
+    if (vm.incarnation != heartbeat.incarnation() || heartbeat.version() >= vm.repairedTo) {
         vm.repairAgainAt.reset();
         vm.repairsWithoutEffect = 0;
     }
-    vm.incarnation = beat.incarnation();
-    vm.gap = beat.gap();
-    vm.lastBeat = beat.beat();
-    vm.version = beat.version();
-    vm.revision = Revision{beat.revision()};
-    vm.dataCentre = DataCentreName{beat.data_centre()};
-    vm.draining = beat.draining();
-    vm.keepAdmitting = std::chrono::milliseconds(beat.keep_admitting_ms());
+    vm.incarnation = heartbeat.incarnation();
+    vm.gap = heartbeat.gap();
+    vm.lastBeat = heartbeat.beat();
+    vm.version = heartbeat.version();
+    vm.revision = Revision{heartbeat.revision()};
+    vm.dataCentre = DataCentreName{heartbeat.data_centre()};
+    vm.draining = heartbeat.draining();
+    vm.keepAdmitting = std::chrono::milliseconds(heartbeat.keep_admitting_ms());
     vm.heard = now;
     forgetOldVersions(now);
-    if (!hasQuorum || beat.version() < requiredVersion(vm, now)) {
+    if (!hasQuorum || heartbeat.version() < requiredVersion(vm, now)) {
         return {};
     }
     vm.granted = now;
     vm.grantedIncarnation = vm.incarnation;
     v1::ConfigLease lease;
-    lease.set_beat(beat.beat());
+    lease.set_beat(heartbeat.beat());
     lease.set_length_ms(static_cast<std::uint32_t>(std::chrono::duration_cast<std::chrono::milliseconds>(m_options.length).count()));
     lease.set_version(m_published.back().version);
     return lease;
--- a/src/control/distribution.h
+++ b/src/control/distribution.h
@@ -76,7 +76,7 @@
 
     /// Takes a beat and grants a lease, or not. Without proof of a quorum none is granted: another leader may have been elected, and
     /// may have accepted what this one has never heard of.
-    std::optional<v1::ConfigLease> heartbeat(const v1::ConfigHeartbeat &beat, bool hasQuorum, TimePoint now);
+    std::optional<v1::ConfigLease> heartbeat(const v1::ConfigHeartbeat &heartbeat, bool hasQuorum, TimePoint now);
     /// Whether the leader should now send the newest configuration to the VM itself, after a beat of it: it lacks it, and what was sent to it
     /// before has had its time. Without the last, the slower a VM's link is, the more copies it would have to carry.
     bool needsRepair(const VmName &vm, TimePoint now) const;
--- a/src/control/follower.h
+++ b/src/control/follower.h
@@ -14,30 +14,30 @@
     DataCentreName dataCentre;
     /// Random at each start of the process.
     std::uint64_t incarnation = 0;
-    /// How long after its lease the VM goes on admitting work under the last configuration; docs/notes/quorum-loss.md.
+    /// How long the VM admits work under the last configuration after its lease has ended; docs/notes/quorum-loss.md.
     Duration keepAdmitting = Duration::zero();
 };
 
-/// What a VM has in force, and until when it may act on it. It needs no replica and no disk: a new process starts with nothing,
-/// and admits nothing before it has a lease, which the leader grants to VMs with the newest configuration only.
+/// The configuration that a VM has in force, and until when the VM may act on it. Needs no replica and no disk: a new process starts empty and admits
+/// nothing before it has a lease, which the leader grants only to VMs with the newest configuration.
 class Follower
 {
 public:
     explicit Follower(FollowerOptions options);
 
-    /// The next sign of life. The lease that answers it counts from now, by this VM's own clock: a slow network shortens the
-    /// lease, it never stretches it.
-    v1::ConfigHeartbeat beat(TimePoint now);
-    /// Takes a lease; true when it reaches further than the one before. An answer to no beat of this process is ignored: it was
-    /// for an earlier process of this VM, whose beats were sent at other times.
-    bool granted(const v1::ConfigLease &lease);
+    /// Builds the next heartbeat. The lease that replies to it counts from now, by this VM's own clock: a slow network shortens the lease and never
+    /// extends it.
+    v1::ConfigHeartbeat makeHeartbeat(TimePoint now);
+    /// Applies a lease; returns true when it ends later than the one before. A lease for a heartbeat that this process did not send is ignored: it
+    /// was granted to an earlier process of this VM, whose heartbeats were sent at other times.
+    bool handleLease(const v1::ConfigLease &lease);
 
-    enum class Taken {
-        Applied, ///< something newer is in force
-        Old, ///< late or repeated: what is in force stays
-        Gap, ///< changes in between are missing: beat, and the leader repairs
+    enum class UpdateResult {
+        Applied, ///< a newer configuration is in force
+        Outdated, ///< late or duplicate: the configuration in force stays
+        Gap, ///< changes in between are missing: send a heartbeat, so that the leader sends a repair
     };
-    Taken update(const v1::ConfigUpdate &update);
+    UpdateResult applyUpdate(const v1::ConfigUpdate &update);
     void setDraining(bool draining)
     {
         m_draining = draining;
@@ -51,12 +51,12 @@
     {
         return m_moves;
     }
-    /// Cells by name. One that another process of this VM held counts as nobody's.
+    /// Cells by name. A cell that an earlier process of this VM held has no holder here.
     const std::map<std::string, v1::CellAssignment> &cells() const
     {
         return m_cells;
     }
-    /// The routes in force; null before the first came.
+    /// The routes in force; null before the first update with routes.
     const std::shared_ptr<const v1::RouteTable> &routes() const
     {
         return m_routes;
@@ -78,18 +78,18 @@
     TimePoint admitUntil() const;
 
 private:
-    Taken missing();
+    UpdateResult reportGap();
 
     const FollowerOptions m_options;
-    std::uint64_t m_nextBeat;
-    /// When each of the last beats was sent.
-    std::map<std::uint64_t, TimePoint> m_sent;
+    std::uint64_t m_lastHeartbeat;
+    /// When each of the last heartbeats was sent, by their numbers.
+    std::map<std::uint64_t, TimePoint> m_heartbeatSentAt;
     TimePoint m_leaseUntil{};
     bool m_draining = false;
-    bool m_needsWhole = false;
-    /// The routes held don't add up with the changes that came for them.
-    bool m_needsWholeRoutes = false;
-    /// What came last starts after what is held.
+    bool m_needsFullDeclarations = false;
+    /// The changes to the routes did not fit the table in force, so the next update must have the full table.
+    bool m_needsFullRoutes = false;
+    /// The last update starts at a later version than the one in force.
     bool m_gap = false;
 
     std::uint64_t m_version = 0;
@@ -100,9 +100,9 @@
     std::map<std::string, v1::CellAssignment> m_cells;
 };
 
-/// The state as one update: the changes after a revision when they are kept and few, else the whole declarations. What the receiver lacks
-/// of the route table goes with it.
+/// Returns the state as one update: the changes since a revision if they are kept and few, otherwise the full declarations. Includes what a receiver
+/// with the given version of the routes lacks of the route table.
 v1::ConfigUpdate makeConfigUpdate(const StateMachine &state, Revision from, std::uint64_t routesVersion = 0);
-v1::ConfigUpdate makeWholeConfigUpdate(const StateMachine &state);
+v1::ConfigUpdate makeFullConfigUpdate(const StateMachine &state);
 
 }
--- a/src/control/forwarder.h
+++ b/src/control/forwarder.h
@@ -12,8 +12,8 @@
 namespace cumindyke
 {
 
-/// An envelope for a VM, to be sent by the task.
-struct Outgoing
+/// An envelope that the task has to send to a VM.
+struct OutgoingEnvelope
 {
     VmName to;
     v1::Envelope envelope;
@@ -21,42 +21,44 @@
 
 struct ForwarderOptions
 {
-    /// A lost request or answer shows as silence; the command's id makes the resend harmless.
-    Duration resendAfter = std::chrono::milliseconds(500);
-    /// A VM that does not lead says so at once: wait a little for an election, not for the whole resend time.
-    Duration retryAfterHint = std::chrono::milliseconds(50);
-    /// Longer than an election and than a VM's lease, which "apply --wait" waits out; shorter than the operators' tool waits.
-    Duration giveUpAfter = std::chrono::seconds(10);
+    /// Time without a reply after which a request is resent: a lost request or reply shows only as silence. The id of the command makes the resend
+    /// harmless.
+    Duration resendTimeout = std::chrono::milliseconds(500);
+    /// Delay of the next attempt after the reply of a VM that does not lead. Such a VM replies at once, so this allows for an election and is shorter
+    /// than resendTimeout.
+    Duration hintRetryDelay = std::chrono::milliseconds(50);
+    /// Longer than an election and than a VM's lease, which "apply --wait" waits for; shorter than the timeout of the operators' tool.
+    Duration requestTimeout = std::chrono::seconds(10);
 };
 
-/// Commands and questions of this VM that another VM, the leader, decides: numbered calls, resent until answered or given up.
+/// Forwards commands and questions of this VM to the leader as numbered calls, and resends them until they are answered or have timed out.
 class Forwarder
 {
 public:
     using Answer = std::function<void(const Result<v1::ProposeReply> &)>;
 
-    /// Calls are numbered from firstCall on, so that an answer to an earlier process of this VM matches nothing.
+    /// Calls are numbered from firstCall on, so that a reply to an earlier process of this VM matches no call.
     Forwarder(ForwarderOptions options, std::uint64_t firstCall)
         : m_options(options)
         , m_nextCall(firstCall)
     {
     }
 
-    /// Takes a request, without its call number. The answer comes once; Unavailable when nobody decided in time.
-    void add(v1::ProposeRequest request, Answer answer, TimePoint now);
-    /// The requests to send or resend now.
-    std::vector<Outgoing> due(LeaderSearch &search, TimePoint now);
-    /// An answer came, or a hint to the leader.
-    void replied(const VmName &from, const v1::ProposeReply &reply, LeaderSearch &search, TimePoint now);
+    /// Adds a request, whose call number is set here. The answer is called once, with Unavailable if no leader decided in time.
+    void submit(v1::ProposeRequest request, Answer answer, TimePoint now);
+    /// Returns the requests to send or resend now, and answers those that have timed out.
+    std::vector<OutgoingEnvelope> dueRequests(LeaderSearch &search, TimePoint now);
+    /// Handles a reply: an answer, or a hint that names the leader.
+    void handleReply(const VmName &from, const v1::ProposeReply &reply, LeaderSearch &search, TimePoint now);
 
 private:
     struct Call
     {
         v1::ProposeRequest request;
         Answer answer;
-        TimePoint giveUp;
-        TimePoint nextTry;
-        VmName asked;
+        TimePoint deadline;
+        TimePoint nextAttemptAt;
+        VmName target;
     };
 
     const ForwarderOptions m_options;
--- a/src/control/heartbeatschedule.cpp
+++ b/src/control/heartbeatschedule.cpp
@@ -9,57 +9,57 @@
 namespace
 {
 
-constexpr Duration BeatInterval = std::chrono::milliseconds(500);
-/// A beat by datagram that nothing answered is repeated so soon, once: it may have been lost.
-constexpr Duration UnansweredInterval = std::chrono::milliseconds(200);
-/// The first lease names only the VMs that beat before this one; the next ones name those that start together with it. Until then a VM may place its own
-/// requests, at the same upstreams as others.
-constexpr int SettlingBeats = 2;
-constexpr Duration SettlingInterval = std::chrono::milliseconds(80);
-/// Without a lease for this long, more than the beats are apart, another VM is asked who leads.
-constexpr Duration LeaderSilence = std::chrono::milliseconds(700);
-/// While nobody answered, the next one is asked this much later: several round trips, and short against the lease.
-constexpr Duration SearchInterval = std::chrono::milliseconds(250);
+constexpr Duration HeartbeatInterval = std::chrono::milliseconds(500);
+/// A heartbeat datagram without a reply is retransmitted once after this time: it may have been lost.
+constexpr Duration RetransmissionInterval = std::chrono::milliseconds(200);
+/// The first lease names only the VMs whose heartbeats arrived earlier; the next ones also name the VMs that start at the same time. Until then a VM
+/// may place its own requests at the same upstreams as other VMs do.
+constexpr int BurstHeartbeats = 2;
+constexpr Duration BurstInterval = std::chrono::milliseconds(80);
+/// Time without a lease after which the next candidate is asked for the leader; longer than HeartbeatInterval.
+constexpr Duration LeaderTimeout = std::chrono::milliseconds(700);
+/// Time for a candidate to reply before the next one is asked: several round trips, and short compared with a lease.
+constexpr Duration CandidateTimeout = std::chrono::milliseconds(250);
 
 }
 
 void HeartbeatSchedule::start(TimePoint now)
 {
-    m_next = now;
-    m_askAnotherAt = now + LeaderSilence;
+    m_nextAt = now;
+    m_askNextCandidateAt = now + LeaderTimeout;
 }
 
-void HeartbeatSchedule::sent(TimePoint now)
+void HeartbeatSchedule::onSent(TimePoint now)
 {
-    const bool isRepeat = std::exchange(m_unanswered, true);
-    m_last = now;
-    m_nextIsRepeat = m_mayBeLost && !isRepeat && m_settling == 0;
-    m_next = now + (m_settling > 0 ? SettlingInterval : m_nextIsRepeat ? UnansweredInterval : BeatInterval);
-    m_settling = std::max(0, m_settling - 1);
+    const bool isRetransmission = std::exchange(m_awaitingReply, true);
+    m_lastSentAt = now;
+    m_nextIsRetransmission = m_usesDatagrams && !isRetransmission && m_burstRemaining == 0;
+    m_nextAt = now + (m_burstRemaining > 0 ? BurstInterval : m_nextIsRetransmission ? RetransmissionInterval : HeartbeatInterval);
+    m_burstRemaining = std::max(0, m_burstRemaining - 1);
 }
 
-void HeartbeatSchedule::askedAnother(TimePoint now)
+void HeartbeatSchedule::onNextCandidateAsked(TimePoint now)
 {
-    m_askAnotherAt = now + SearchInterval;
+    m_askNextCandidateAt = now + CandidateTimeout;
 }
 
-void HeartbeatSchedule::answered()
+void HeartbeatSchedule::onReply()
 {
-    m_unanswered = false;
-    if (std::exchange(m_nextIsRepeat, false)) {
-        m_next = m_last + BeatInterval;
+    m_awaitingReply = false;
+    if (std::exchange(m_nextIsRetransmission, false)) {
+        m_nextAt = m_lastSentAt + HeartbeatInterval;
     }
 }
 
-void HeartbeatSchedule::granted(TimePoint now)
+void HeartbeatSchedule::onLeaseGranted(TimePoint now)
 {
-    m_askAnotherAt = now + LeaderSilence;
+    m_askNextCandidateAt = now + LeaderTimeout;
 }
 
-void HeartbeatSchedule::settle(TimePoint now)
+void HeartbeatSchedule::startBurst(TimePoint now)
 {
-    m_settling = SettlingBeats;
-    m_next = std::min(m_next, now + SettlingInterval);
+    m_burstRemaining = BurstHeartbeats;
+    m_nextAt = std::min(m_nextAt, now + BurstInterval);
 }
 
 }
--- a/src/control/heartbeatschedule.h
+++ b/src/control/heartbeatschedule.h
@@ -5,48 +5,48 @@
 namespace cumindyke
 {
 
-/// When a VM sends its next beat, and when it asks another VM for a lease. Pure: time is an argument.
+/// Decides when a VM sends its next heartbeat and when it asks the next candidate for a lease. Pure: time is an argument.
 class HeartbeatSchedule
 {
 public:
-    /// "mayBeLost": beats go by datagrams.
-    explicit HeartbeatSchedule(bool mayBeLost)
-        : m_mayBeLost(mayBeLost)
+    /// usesDatagrams: heartbeats go by datagrams, which may be lost.
+    explicit HeartbeatSchedule(bool usesDatagrams)
+        : m_usesDatagrams(usesDatagrams)
     {
     }
 
-    /// The VM can be reached from now on: the first beat is due.
+    /// Peers can reach this VM from now on: the first heartbeat is due.
     void start(TimePoint now);
     bool isDue(TimePoint now) const
     {
-        return now >= m_next;
+        return now >= m_nextAt;
     }
-    /// Nobody has granted a lease for too long: another VM is to be asked, with a beat at once.
-    bool mustAskAnother(TimePoint now) const
+    /// Returns whether no lease was granted for too long, so that the next candidate must be asked, with a heartbeat at once.
+    bool mustAskNextCandidate(TimePoint now) const
     {
-        return now >= m_askAnotherAt;
+        return now >= m_askNextCandidateAt;
     }
 
-    void sent(TimePoint now);
-    /// Another VM was just asked: the next one soon, if it gives no answer.
-    void askedAnother(TimePoint now);
-    /// A lease, a refusal or a hint came.
-    void answered();
-    void granted(TimePoint now);
-    /// The first lease after a while without: it is followed by beats that are close together.
-    void settle(TimePoint now);
+    void onSent(TimePoint now);
+    /// Records that the next candidate was asked; if it does not reply either, the one after it is due soon.
+    void onNextCandidateAsked(TimePoint now);
+    /// Records a reply to the last heartbeat: a lease, a refusal or a leader hint.
+    void onReply();
+    void onLeaseGranted(TimePoint now);
+    /// Schedules a burst of closely spaced heartbeats after the first lease, or the first one after a lapse.
+    void startBurst(TimePoint now);
 
 private:
-    const bool m_mayBeLost;
-    TimePoint m_last{};
-    TimePoint m_next{};
-    TimePoint m_askAnotherAt{};
-    /// Nothing has answered since the last beat.
-    bool m_unanswered = false;
-    /// The next beat repeats the last one, if that stays unanswered.
-    bool m_nextIsRepeat = false;
-    /// Beats that still follow soon on each other.
-    int m_settling = 0;
+    const bool m_usesDatagrams;
+    TimePoint m_lastSentAt{};
+    TimePoint m_nextAt{};
+    TimePoint m_askNextCandidateAt{};
+    /// No reply has arrived since the last heartbeat.
+    bool m_awaitingReply = false;
+    /// The next heartbeat is a retransmission of the last one, due only while no reply arrives.
+    bool m_nextIsRetransmission = false;
+    /// Heartbeats left in the burst.
+    int m_burstRemaining = 0;
 };
 
 }
--- a/src/control/leadersearch.h
+++ b/src/control/leadersearch.h
@@ -10,37 +10,38 @@
 namespace cumindyke
 {
 
-/// Whom a VM takes for the leader of the control replicas: the leader that its own replica follows, or else the last hint, or else the
+/// Tracks which VM is presumed to lead the control replicas: the leader that the own replica follows, otherwise the last hint, otherwise the
 /// candidates in turn.
 class LeaderSearch
 {
 public:
-    /// Every VM that may lead or know who does, the likeliest first; at least one.
+    /// candidates: every VM that may lead or know the leader, the likeliest first; at least one.
     explicit LeaderSearch(std::vector<VmName> candidates)
         : m_candidates(std::move(candidates))
-        , m_asked(m_candidates.front())
+        , m_presumedLeader(m_candidates.front())
     {
     }
 
     const VmName &leader() const
     {
-        return m_followed ? *m_followed : m_asked;
+        return m_followedLeader ? *m_followedLeader : m_presumedLeader;
     }
 
-    /// The voting replicas, as the last leader named them: asked before the candidates of the settings, which may all be cut off or gone.
-    void learnedReplicas(const std::vector<VmName> &replicas)
+    /// Sets the voting replicas as the last leader named them. They are asked before the candidates of the settings, which may all be cut off or
+    /// removed.
+    void setReplicas(const std::vector<VmName> &replicas)
     {
         m_replicas = replicas;
     }
 
-    /// The leader that this VM's replica hears, or that it hears none. A leader need not be among the candidates; without this, replicas
-    /// whose beats it has not answered yet would send each other, and every VM that asks them, round the candidates for ever.
-    void followed(const std::optional<VmName> &leader)
+    /// Sets the leader that this VM's replica follows, or that it follows none. A leader need not be among the candidates. Without this call,
+    /// replicas that have no reply yet to their heartbeats would send each other, and every VM that asks them, round the candidates for ever.
+    void setFollowedLeader(const std::optional<VmName> &leader)
     {
-        m_followed = leader;
+        m_followedLeader = leader;
     }
 
-    /// At least one; the VM that is asked at present stays until it gives no answer.
+    /// Replaces the candidates unless the list is empty. The VM that is presumed to lead stays until it does not reply.
     void setCandidates(std::vector<VmName> candidates)
     {
         if (!candidates.empty()) {
@@ -48,49 +49,50 @@
         }
     }
 
-    /// Somebody named the leader.
-    void learned(const VmName &leader)
+    /// Handles a hint of another VM that names the leader.
+    void onLeaderHint(const VmName &leader)
     {
         if (!leader.value.empty()) {
-            m_asked = leader;
+            m_presumedLeader = leader;
         }
     }
 
-    /// The leader itself answered.
-    void answered(const VmName &leader)
+    /// Handles a reply of the leader itself.
+    void onLeaderReply(const VmName &leader)
     {
-        m_asked = leader;
-        m_sure = true;
+        m_presumedLeader = leader;
+        m_isConfirmed = true;
     }
 
-    /// What others that ask may be told. A VM that only guesses says nothing: two that guess each other would send everybody to and fro.
+    /// Returns the leader to name to other VMs, if it is known. A guess is not passed on: two VMs that guess each other would send every other VM to
+    /// and fro.
     std::optional<VmName> hint() const
     {
-        return m_followed || m_sure ? std::optional(leader()) : std::nullopt;
+        return m_followedLeader || m_isConfirmed ? std::optional(leader()) : std::nullopt;
     }
 
-    /// The VM that was asked gave no answer: the next candidate is asked.
-    void gaveNoAnswer(const VmName &asked)
+    /// Handles a request to the presumed leader that got no reply: the next candidate is presumed to lead.
+    void onNoReply(const VmName &target)
     {
-        if (asked != leader()) {
+        if (target != leader()) {
             return;
         }
-        m_sure = false;
+        m_isConfirmed = false;
         std::vector<VmName> all = m_replicas;
         std::ranges::copy_if(m_candidates, std::back_inserter(all), [this](const VmName &vm) { return std::ranges::find(m_replicas, vm) == m_replicas.end(); });
-        auto next = std::ranges::find(all, m_asked);
+        auto next = std::ranges::find(all, m_presumedLeader);
         if (next != all.end()) {
             ++next;
         }
-        m_asked = next == all.end() ? all.front() : *next;
+        m_presumedLeader = next == all.end() ? all.front() : *next;
     }
 
 private:
     std::vector<VmName> m_candidates;
     std::vector<VmName> m_replicas;
-    VmName m_asked;
-    std::optional<VmName> m_followed;
-    bool m_sure = false;
+    VmName m_presumedLeader;
+    std::optional<VmName> m_followedLeader;
+    bool m_isConfirmed = false;
 };
 
 }
--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -76,30 +76,30 @@
     m_pushedRoutes = m_state.routeHistory().newest().version();
 }
 
-void Leadership::heartbeat(const VmName &from, const v1::ConfigHeartbeat &beat, TimePoint now)
+void Leadership::heartbeat(const VmName &from, const v1::ConfigHeartbeat &heartbeat, TimePoint now)
 {
     v1::Envelope answer;
-    if (beat.has_tally()) {
-        m_tallies.take(from, beat.incarnation(), beat.tally(), now);
+    if (heartbeat.has_tally()) {
+        m_tallies.take(from, heartbeat.incarnation(), heartbeat.tally(), now);
     }
-    if (std::optional<v1::ConfigLease> lease = m_distribution.heartbeat(beat, m_options.hasQuorum(now), now)) {
+    if (std::optional<v1::ConfigLease> lease = m_distribution.heartbeat(heartbeat, m_options.hasQuorum(now), now)) {
         *answer.mutable_config_lease() = std::move(*lease);
         answer.mutable_config_lease()->set_leader(m_options.vm.value);
         if (m_options.replicas) {
             *answer.mutable_config_lease()->mutable_replicas() = m_options.replicas();
         }
         const v1::FleetTally &fleet = m_tallies.fleet(now);
-        if (beat.has_tally() && beat.fleet_digest() != fleet.digest()) {
+        if (heartbeat.has_tally() && heartbeat.fleet_digest() != fleet.digest()) {
             *answer.mutable_config_lease()->mutable_fleet() = fleet;
         }
     } else {
         answer.mutable_config_lease()->set_leader(m_options.vm.value);
-        answer.mutable_config_lease()->set_beat(beat.beat());
+        answer.mutable_config_lease()->set_beat(heartbeat.beat());
     }
     m_options.send(from, std::move(answer));
     m_repairs.erase(from);
     if (m_distribution.needsRepair(from, now)) {
-        m_repairs[from] = {.needsWhole = beat.whole(), .revision = beat.revision(), .routesVersion = beat.routes_version()};
+        m_repairs[from] = {.needsWhole = heartbeat.whole(), .revision = heartbeat.revision(), .routesVersion = heartbeat.routes_version()};
     }
     answerWaits(now);
     confirmDue(now);
@@ -115,7 +115,7 @@
     for (const auto &[holding, vms] : vmsOf) {
         v1::Envelope repair;
         *repair.mutable_config_update()
-            = holding.needsWhole ? makeWholeConfigUpdate(m_state) : makeConfigUpdate(m_state, Revision{holding.revision}, holding.routesVersion);
+            = holding.needsWhole ? makeFullConfigUpdate(m_state) : makeConfigUpdate(m_state, Revision{holding.revision}, holding.routesVersion);
         for (const std::string &vm : vms) {
             m_distribution.repairSent(VmName{vm}, repair.ByteSizeLong(), now);
         }
--- a/src/control/leadership.h
+++ b/src/control/leadership.h
@@ -49,7 +49,7 @@
     /// Call after every applied command: pushes the version when it is new.
     void applied(TimePoint now);
     /// A VM's beat: answers with a lease, a repair, or both.
-    void heartbeat(const VmName &from, const v1::ConfigHeartbeat &beat, TimePoint now);
+    void heartbeat(const VmName &from, const v1::ConfigHeartbeat &heartbeat, TimePoint now);
     /// Answers when every VM has the present version in force or has certainly stopped admitting work.
     void waitUntilInForce(WaitAnswer answer, TimePoint now);
     /// Answers as soon as it is certain that every VM will have the present version in force, or have stopped admitting work, in time.
--- a/tests/control/distributionrig.cpp
+++ b/tests/control/distributionrig.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr Duration BeatInterval = std::chrono::milliseconds(500);
+constexpr Duration HeartbeatInterval = std::chrono::milliseconds(500);
 constexpr Duration TickInterval = std::chrono::milliseconds(50);
 
 Duration timeFor(std::size_t bytes, double bytesPerSecond)
@@ -37,7 +37,7 @@
 {
     for (int i = 0; i < size(); ++i) {
         vm(i).bytesPerSecond = i < m_options.coreVms ? m_options.coreBytesPerSecond : m_options.entryBytesPerSecond;
-        vm(i).nextBeat = m_now + Duration(static_cast<Duration::rep>(m_random() % static_cast<std::uint64_t>(BeatInterval.count())));
+        vm(i).nextHeartbeatAt = m_now + Duration(static_cast<Duration::rep>(m_random() % static_cast<std::uint64_t>(HeartbeatInterval.count())));
         vm(i).follower = newFollower(i);
     }
     elect(0);
@@ -62,7 +62,7 @@
             continue;
         }
         vm(i).follower = newFollower(i);
-        vm(i).nextBeat = m_now + Duration(static_cast<Duration::rep>(m_random() % static_cast<std::uint64_t>(within.count())));
+        vm(i).nextHeartbeatAt = m_now + Duration(static_cast<Duration::rep>(m_random() % static_cast<std::uint64_t>(within.count())));
     }
 }
 
@@ -198,7 +198,7 @@
     if (envelope.has_config_heartbeat() && to == m_leader) {
         m_leadership->heartbeat(nameOf(from), envelope.config_heartbeat(), m_now);
     } else if (envelope.has_config_lease()) {
-        vm(to).follower->granted(envelope.config_lease());
+        vm(to).follower->handleLease(envelope.config_lease());
     } else if (envelope.has_config_update()) {
         takeUpdate(to, envelope.config_update());
     }
@@ -213,21 +213,21 @@
         send(number, branch.child, relayed);
     }
     Vm &held = vm(number);
-    if (held.follower->update(update) == Follower::Taken::Old) {
+    if (held.follower->applyUpdate(update) == Follower::UpdateResult::Outdated) {
         return;
     }
     if (routesOn(number) >= m_published && held.inForceAfter == Duration::max()) {
         held.inForceAfter = m_now - m_publishedAt;
     }
-    beat(number);
+    sendHeartbeat(number);
 }
 
-void DistributionRig::beat(int number)
+void DistributionRig::sendHeartbeat(int number)
 {
     Vm &held = vm(number);
-    held.nextBeat = m_now + BeatInterval;
+    held.nextHeartbeatAt = m_now + HeartbeatInterval;
     v1::Envelope envelope;
-    *envelope.mutable_config_heartbeat() = held.follower->beat(m_now);
+    *envelope.mutable_config_heartbeat() = held.follower->makeHeartbeat(m_now);
     send(number, nameOf(m_leader), std::move(envelope));
 }
 
@@ -237,8 +237,8 @@
     for (; m_now < end; m_now += TickInterval) {
         const TimePoint next = m_now + TickInterval;
         for (int i = 0; i < size(); ++i) {
-            if (vm(i).nextBeat <= m_now) {
-                beat(i);
+            if (vm(i).nextHeartbeatAt <= m_now) {
+                sendHeartbeat(i);
             }
         }
         m_leadership->tick(m_now);
--- a/tests/control/distributionrig.h
+++ b/tests/control/distributionrig.h
@@ -96,7 +96,7 @@
         std::shared_ptr<SendBudget> budget = std::make_shared<SendBudget>();
         std::map<int, OutgoingQueue> queues;
         double bytesPerSecond = 0;
-        TimePoint nextBeat{};
+        TimePoint nextHeartbeatAt{};
         TimePoint uplinkFree{};
         TimePoint downlinkFree{};
         bool silent = false;
@@ -130,7 +130,7 @@
     void startCalls(int from, int to);
     void startCall(int from, int to, OutgoingBatch batch);
     void deliver(int from, int to, const v1::Envelope &envelope);
-    void beat(int vm);
+    void sendHeartbeat(int vm);
     void takeUpdate(int vm, const v1::ConfigUpdate &update);
 
     DistributionRigOptions m_options;
--- a/tests/control/distributiontest.cpp
+++ b/tests/control/distributiontest.cpp
@@ -14,14 +14,14 @@
     return Start + std::chrono::milliseconds(ms);
 }
 
-v1::ConfigHeartbeat beatOf(const std::string &vm, std::uint64_t number, std::uint64_t version)
+v1::ConfigHeartbeat heartbeatOf(const std::string &vm, std::uint64_t number, std::uint64_t version)
 {
-    v1::ConfigHeartbeat beat;
-    beat.set_vm(vm);
-    beat.set_incarnation(1);
-    beat.set_beat(number);
-    beat.set_version(version);
-    return beat;
+    v1::ConfigHeartbeat heartbeat;
+    heartbeat.set_vm(vm);
+    heartbeat.set_incarnation(1);
+    heartbeat.set_beat(number);
+    heartbeat.set_version(version);
+    return heartbeat;
 }
 
 }
@@ -32,11 +32,11 @@
 {
     Distribution distribution({}, {VmName{"a"}, VmName{"b"}});
     distribution.lead(7, Start);
-    distribution.heartbeat(beatOf("a", 1, 7), true, after(100));
+    distribution.heartbeat(heartbeatOf("a", 1, 7), true, after(100));
     CHECK(distribution.spread(7, after(2'100)).pending == std::vector<std::string>{"b"});
     CHECK(distribution.spread(7, after(2'100)).lapsed.empty());
     CHECK(distribution.spread(7, after(5'100)).lapsed == std::vector<std::string>{"b"});
-    distribution.heartbeat(beatOf("b", 1, 7), true, after(4'000));
+    distribution.heartbeat(heartbeatOf("b", 1, 7), true, after(4'000));
     CHECK(distribution.spread(7, after(5'100)).lapsed.empty());
     CHECK(distribution.spread(7, after(5'100)).pending.empty());
 }
@@ -46,7 +46,7 @@
 {
     Distribution distribution({}, {VmName{"a"}});
     distribution.lead(7, Start);
-    REQUIRE(distribution.heartbeat(beatOf("a", 1, 7), true, after(100)));
+    REQUIRE(distribution.heartbeat(heartbeatOf("a", 1, 7), true, after(100)));
     distribution.published(8, after(200));
     CHECK(distribution.spread(8, after(2'119)).pending.size() == 1);
     CHECK(distribution.spread(8, after(2'120)).lapsed.size() == 1);
@@ -58,12 +58,12 @@
     constexpr std::size_t Megabyte = std::size_t{1} << 20;
     Distribution distribution({}, {VmName{"a"}});
     distribution.lead(7, Start);
-    distribution.heartbeat(beatOf("a", 1, 7), true, after(100));
+    distribution.heartbeat(heartbeatOf("a", 1, 7), true, after(100));
     distribution.published(8, after(200));
     CHECK_FALSE(distribution.needsRepair(VmName{"a"}, after(400)));
     REQUIRE(distribution.needsRepair(VmName{"a"}, after(700)));
     distribution.repairSent(VmName{"a"}, Megabyte, after(700));
-    distribution.heartbeat(beatOf("a", 2, 7), true, after(1'200));
+    distribution.heartbeat(heartbeatOf("a", 2, 7), true, after(1'200));
     CHECK_FALSE(distribution.needsRepair(VmName{"a"}, after(9'000)));
     REQUIRE(distribution.needsRepair(VmName{"a"}, after(10'000)));
     distribution.repairSent(VmName{"a"}, Megabyte, after(10'000));
@@ -76,15 +76,15 @@
 {
     Distribution distribution({}, {VmName{"a"}});
     distribution.lead(7, Start);
-    distribution.heartbeat(beatOf("a", 1, 7), true, after(100));
+    distribution.heartbeat(heartbeatOf("a", 1, 7), true, after(100));
     distribution.published(8, after(200));
-    v1::ConfigHeartbeat gap = beatOf("a", 2, 7);
+    v1::ConfigHeartbeat gap = heartbeatOf("a", 2, 7);
     gap.set_gap(true);
     distribution.heartbeat(gap, true, after(210));
     REQUIRE(distribution.needsRepair(VmName{"a"}, after(210)));
     distribution.repairSent(VmName{"a"}, 100, after(210));
     CHECK_FALSE(distribution.needsRepair(VmName{"a"}, after(220)));
-    v1::ConfigHeartbeat restarted = beatOf("a", 1, 0);
+    v1::ConfigHeartbeat restarted = heartbeatOf("a", 1, 0);
     restarted.set_incarnation(2);
     distribution.heartbeat(restarted, true, after(300));
     CHECK(distribution.needsRepair(VmName{"a"}, after(300)));
@@ -96,7 +96,7 @@
     const Duration within = std::chrono::seconds(2);
     Distribution distribution({.keepAdmitting = std::chrono::milliseconds(1'800)}, {});
     distribution.lead(7, Start);
-    v1::ConfigHeartbeat first = beatOf("a", 1, 7);
+    v1::ConfigHeartbeat first = heartbeatOf("a", 1, 7);
     first.set_keep_admitting_ms(1'800);
     REQUIRE(distribution.heartbeat(first, true, after(5'000)));
     distribution.published(8, after(5'010));
@@ -108,7 +108,7 @@
     v1::ConfigHeartbeat second = first;
     second.set_beat(2);
     CHECK_FALSE(distribution.heartbeat(second, true, after(5'030)));
-    v1::ConfigHeartbeat updated = beatOf("a", 3, 8);
+    v1::ConfigHeartbeat updated = heartbeatOf("a", 3, 8);
     CHECK(distribution.heartbeat(updated, true, after(5'040)));
     CHECK(distribution.inForceWithin(8, within, after(5'050)));
 }
--- a/tests/control/followertest.cpp
+++ b/tests/control/followertest.cpp
@@ -16,10 +16,10 @@
     return Follower({.vm = VmName{"vm-1"}, .dataCentre = DataCentreName{"dc-0"}, .incarnation = incarnation, .keepAdmitting = keepAdmitting});
 }
 
-v1::ConfigLease leaseFor(const v1::ConfigHeartbeat &beat)
+v1::ConfigLease leaseFor(const v1::ConfigHeartbeat &heartbeat)
 {
     v1::ConfigLease lease;
-    lease.set_beat(beat.beat());
+    lease.set_beat(heartbeat.beat());
     lease.set_length_ms(2'000);
     return lease;
 }
@@ -35,56 +35,56 @@
 
 }
 
-// The grant took long on its way. The leader counts the lease from when it granted it, so the VM must not count from when the grant
-// arrived, or it would admit work after the leader holds it for lapsed.
-TEST_CASE("a lease counts from when its beat was sent")
+// Guards against a VM that admits work after its lease has ended for the leader: a delayed lease must count from when the heartbeat was sent, as it
+// does for the leader, and not from its arrival.
+TEST_CASE("a lease counts from when its heartbeat was sent")
 {
     Follower follower = makeFollower();
-    const v1::ConfigHeartbeat beat = follower.beat(Start);
-    follower.beat(Start + std::chrono::milliseconds(1'500));
-    CHECK(follower.granted(leaseFor(beat)));
+    const v1::ConfigHeartbeat heartbeat = follower.makeHeartbeat(Start);
+    follower.makeHeartbeat(Start + std::chrono::milliseconds(1'500));
+    CHECK(follower.handleLease(leaseFor(heartbeat)));
     CHECK(follower.admitUntil() == Start + std::chrono::seconds(2));
-    CHECK_FALSE(follower.granted(leaseFor(beat)));
+    CHECK_FALSE(follower.handleLease(leaseFor(heartbeat)));
 }
 
-// A grant for a beat of the process before the restart comes late. That beat was sent at another time, so the grant is worth nothing.
-TEST_CASE("a grant to an earlier process of the VM is ignored")
+// A late lease for a heartbeat of the process before a restart must have no effect: that heartbeat was sent at another time.
+TEST_CASE("a lease granted to an earlier process of the VM is ignored")
 {
     Follower before = makeFollower(1'000);
-    const v1::ConfigLease late = leaseFor(before.beat(Start));
+    const v1::ConfigLease late = leaseFor(before.makeHeartbeat(Start));
     Follower restarted = makeFollower(900'000);
-    restarted.beat(Start + std::chrono::seconds(10));
-    CHECK_FALSE(restarted.granted(late));
+    restarted.makeHeartbeat(Start + std::chrono::seconds(10));
+    CHECK_FALSE(restarted.handleLease(late));
     CHECK(restarted.admitUntil() == TimePoint{});
 }
 
-TEST_CASE("with the setting, work is admitted for a time after the lease, but cells are not scheduled")
+TEST_CASE("with keepAdmitting set, work is admitted for that time after the lease, but cells are not scheduled")
 {
     Follower follower = makeFollower(1'000, std::chrono::seconds(30));
     CHECK(follower.admitUntil() == TimePoint{});
-    CHECK(follower.granted(leaseFor(follower.beat(Start))));
+    CHECK(follower.handleLease(leaseFor(follower.makeHeartbeat(Start))));
     CHECK(follower.admitUntil() == Start + std::chrono::seconds(32));
     CHECK(follower.leaseUntil() == Start + std::chrono::seconds(2));
 }
 
-// An update was lost. The next one starts at a revision that the VM does not have: taking it would mix two configurations. The VM
-// says where it is, and the leader sends what is missing.
-TEST_CASE("changes that do not follow on what is in force are not taken")
+// After a lost update the next one starts at a revision that the VM does not have; applying it would mix two configurations. The VM reports its
+// revision, and the leader sends the missing changes.
+TEST_CASE("changes that start after the revision in force are not applied")
 {
     StateMachine state;
     accept(state, smallOffice());
     accept(state, {organisationChange(1)});
     Follower follower = makeFollower();
-    CHECK(follower.update(makeConfigUpdate(state, Revision{1})) == Follower::Taken::Gap);
+    CHECK(follower.applyUpdate(makeConfigUpdate(state, Revision{1})) == Follower::UpdateResult::Gap);
     CHECK(follower.declarations()->revision() == Revision{0});
-    CHECK(follower.update(makeConfigUpdate(state, Revision{0})) == Follower::Taken::Applied);
+    CHECK(follower.applyUpdate(makeConfigUpdate(state, Revision{0})) == Follower::UpdateResult::Applied);
     CHECK(follower.declarations()->revision() == Revision{2});
-    CHECK(follower.update(makeConfigUpdate(state, Revision{0})) == Follower::Taken::Old);
+    CHECK(follower.applyUpdate(makeConfigUpdate(state, Revision{0})) == Follower::UpdateResult::Outdated);
 }
 
-// Changes arrive that start where the VM is and still do not fit, so something is wrong with what it has. Asking for changes again would
-// go on for ever, without a lease: it asks for the whole.
-TEST_CASE("a VM that changes do not fit asks for the whole declarations")
+// Changes that start at the current revision and do not fit show that the declarations in force are wrong. Requesting changes again would go on for
+// ever, without a lease, so the VM requests the full declarations.
+TEST_CASE("a VM whose declarations do not fit the changes requests the full declarations")
 {
     StateMachine state;
     accept(state, smallOffice());
@@ -92,16 +92,16 @@
     v1::ConfigUpdate broken = makeConfigUpdate(state, Revision{0});
     broken.mutable_changes(0)->clear_changes();
     *broken.mutable_changes(0)->add_changes() = organisationChange(1);
-    CHECK(follower.update(broken) == Follower::Taken::Gap);
-    CHECK(follower.beat(Start).whole());
-    CHECK(follower.update(makeWholeConfigUpdate(state)) == Follower::Taken::Applied);
-    CHECK_FALSE(follower.beat(Start).whole());
+    CHECK(follower.applyUpdate(broken) == Follower::UpdateResult::Gap);
+    CHECK(follower.makeHeartbeat(Start).whole());
+    CHECK(follower.applyUpdate(makeFullConfigUpdate(state)) == Follower::UpdateResult::Applied);
+    CHECK_FALSE(follower.makeHeartbeat(Start).whole());
     CHECK(follower.declarations()->changesTo(state.declarations()).empty());
 }
 
-// The VM restarted within its lease, and hears of the cell that the process before it held. It does not know which capacity that one
-// granted: scheduling the cell under the same epoch would grant it twice.
-TEST_CASE("a cell assigned to an earlier process of the VM is nobody's")
+// A VM that restarted within its lease does not know what capacity of the cell the process before it had granted: scheduling the cell under the same
+// epoch would grant that capacity twice.
+TEST_CASE("a cell assigned to an earlier process of the VM has no holder")
 {
     StateMachine state;
     accept(state, smallOffice());
@@ -113,9 +113,9 @@
     assign.mutable_assign_cell()->set_incarnation(1'000);
     REQUIRE(state.apply(assign).reply().outcome() == v1::CommandReply::ACCEPTED);
     Follower holder = makeFollower(1'000);
-    holder.update(makeConfigUpdate(state, Revision{0}));
+    holder.applyUpdate(makeConfigUpdate(state, Revision{0}));
     CHECK(holder.cells().at("drafting/dc-0").vm() == "vm-1");
     Follower restarted = makeFollower(2'000);
-    restarted.update(makeConfigUpdate(state, Revision{0}));
+    restarted.applyUpdate(makeConfigUpdate(state, Revision{0}));
     CHECK(restarted.cells().at("drafting/dc-0").vm().empty());
 }
--- a/tests/control/forwardertest.cpp
+++ b/tests/control/forwardertest.cpp
@@ -23,11 +23,11 @@
     std::optional<Result<v1::ProposeReply>> answer;
     int answers = 0;
 
-    void add()
+    void submit()
     {
         v1::ProposeRequest request;
         request.set_command("command");
-        forwarder.add(
+        forwarder.submit(
             request,
             [this](const Result<v1::ProposeReply> &result) {
                 answer = result;
@@ -35,9 +35,9 @@
             },
             Start);
     }
-    std::vector<Outgoing> due(int ms)
+    std::vector<OutgoingEnvelope> dueRequests(int ms)
     {
-        return forwarder.due(search, after(ms));
+        return forwarder.dueRequests(search, after(ms));
     }
     void reply(const std::string &from, std::uint64_t call, const std::string &leader, int ms)
     {
@@ -48,25 +48,25 @@
         } else {
             reply.set_leader(leader);
         }
-        forwarder.replied(VmName{from}, reply, search, after(ms));
+        forwarder.handleReply(VmName{from}, reply, search, after(ms));
     }
 };
 
 }
 
-// An operator's command reaches a VM that does not lead. The VM asks whom it takes for the leader, is told of another, asks that one,
-// and the operator gets its answer once, also when the answer arrives twice.
+// A command that reaches a VM that does not lead is sent to the presumed leader and then to the leader that its hint names. The operator gets the
+// answer once, also when it arrives twice.
 TEST_CASE("a command follows the hint to the leader and is answered once")
 {
     Forwarding call;
-    call.add();
-    const auto first = call.due(0);
+    call.submit();
+    const auto first = call.dueRequests(0);
     REQUIRE(first.size() == 1);
     CHECK(first[0].to == VmName{"a"});
     CHECK(first[0].envelope.propose().call() == 100);
     call.reply("a", 100, "c", 5);
-    CHECK(call.due(10).empty());
-    const auto second = call.due(60);
+    CHECK(call.dueRequests(10).empty());
+    const auto second = call.dueRequests(60);
     REQUIRE(second.size() == 1);
     CHECK(second[0].to == VmName{"c"});
     CHECK(second[0].envelope.propose().command() == "command");
@@ -76,30 +76,29 @@
     CHECK(ok(*call.answer));
 }
 
-// The answer, or the command, is lost. The operator only sees that it takes longer: the same command goes out again, to the next VM
-// that may lead, since the silent one may be dead.
-TEST_CASE("a command without an answer is sent again, to another VM")
+// After a lost command or answer the same command is resent to the next VM that may lead, since the first one may be dead.
+TEST_CASE("a command without an answer is resent to another VM")
 {
     Forwarding call;
-    call.add();
-    CHECK(call.due(0).size() == 1);
-    CHECK(call.due(499).empty());
-    const auto again = call.due(500);
+    call.submit();
+    CHECK(call.dueRequests(0).size() == 1);
+    CHECK(call.dueRequests(499).empty());
+    const auto again = call.dueRequests(500);
     REQUIRE(again.size() == 1);
     CHECK(again[0].to == VmName{"b"});
     CHECK(again[0].envelope.propose().call() == 100);
 }
 
-// No replica decides. The operator must not wait for ever, nor be told that nothing happened: a command may still be in the log.
-TEST_CASE("a command that nobody decides ends as unavailable, with the remedy")
+// If no replica decides, the operator must neither wait for ever nor be told that nothing happened: the command may be in the log.
+TEST_CASE("a command that no replica decides fails as unavailable, and the message names the remedy")
 {
     Forwarding call;
-    call.add();
+    call.submit();
     for (int ms = 0; ms < 10'000; ms += 50) {
-        call.due(ms);
+        call.dueRequests(ms);
     }
     CHECK(call.answers == 0);
-    call.due(10'000);
+    call.dueRequests(10'000);
     REQUIRE(call.answers == 1);
     REQUIRE_FALSE(ok(*call.answer));
     CHECK(errorOf(*call.answer).kind == ErrorKind::Unavailable);
--- a/tests/control/heartbeatscheduletest.cpp
+++ b/tests/control/heartbeatscheduletest.cpp
@@ -16,64 +16,64 @@
 
 }
 
-TEST_CASE("a VM beats at once when it starts, then twice a second, and soon after its first lease")
+TEST_CASE("a VM sends a heartbeat at its start, then two a second, and a burst after its first lease")
 {
-    HeartbeatSchedule beats(false);
-    beats.start(Start);
-    CHECK(beats.isDue(Start));
-    beats.sent(Start);
-    beats.answered();
-    CHECK_FALSE(beats.isDue(after(499)));
-    CHECK(beats.isDue(after(500)));
-    beats.sent(after(500));
-    beats.answered();
-    beats.settle(after(501));
-    CHECK_FALSE(beats.isDue(after(580)));
-    CHECK(beats.isDue(after(581)));
-    beats.sent(after(581));
-    beats.answered();
-    CHECK(beats.isDue(after(661)));
-    beats.sent(after(661));
-    beats.answered();
-    CHECK(beats.isDue(after(741)));
-    beats.sent(after(741));
-    beats.answered();
-    CHECK_FALSE(beats.isDue(after(1240)));
-    CHECK(beats.isDue(after(1241)));
+    HeartbeatSchedule schedule(false);
+    schedule.start(Start);
+    CHECK(schedule.isDue(Start));
+    schedule.onSent(Start);
+    schedule.onReply();
+    CHECK_FALSE(schedule.isDue(after(499)));
+    CHECK(schedule.isDue(after(500)));
+    schedule.onSent(after(500));
+    schedule.onReply();
+    schedule.startBurst(after(501));
+    CHECK_FALSE(schedule.isDue(after(580)));
+    CHECK(schedule.isDue(after(581)));
+    schedule.onSent(after(581));
+    schedule.onReply();
+    CHECK(schedule.isDue(after(661)));
+    schedule.onSent(after(661));
+    schedule.onReply();
+    CHECK(schedule.isDue(after(741)));
+    schedule.onSent(after(741));
+    schedule.onReply();
+    CHECK_FALSE(schedule.isDue(after(1240)));
+    CHECK(schedule.isDue(after(1241)));
 }
 
-// Guards against a lease that lapses by one lost datagram, and against a leader that gets the more beats the slower it answers.
-TEST_CASE("a beat by datagram that nothing answered is repeated soon, once")
+// Guards against a lease that lapses because of one lost datagram, and against a leader that receives more heartbeats the slower it replies.
+TEST_CASE("a heartbeat datagram without a reply is retransmitted once")
 {
-    HeartbeatSchedule beats(true);
-    beats.start(Start);
-    beats.sent(Start);
+    HeartbeatSchedule schedule(true);
+    schedule.start(Start);
+    schedule.onSent(Start);
     SECTION("answered")
     {
-        beats.answered();
-        CHECK_FALSE(beats.isDue(after(499)));
-        CHECK(beats.isDue(after(500)));
+        schedule.onReply();
+        CHECK_FALSE(schedule.isDue(after(499)));
+        CHECK(schedule.isDue(after(500)));
     }
     SECTION("lost")
     {
-        CHECK_FALSE(beats.isDue(after(199)));
-        CHECK(beats.isDue(after(200)));
-        beats.sent(after(200));
-        CHECK_FALSE(beats.isDue(after(699)));
-        CHECK(beats.isDue(after(700)));
+        CHECK_FALSE(schedule.isDue(after(199)));
+        CHECK(schedule.isDue(after(200)));
+        schedule.onSent(after(200));
+        CHECK_FALSE(schedule.isDue(after(699)));
+        CHECK(schedule.isDue(after(700)));
     }
 }
 
-TEST_CASE("another VM is asked when nobody granted a lease, and the next one sooner")
+TEST_CASE("the next candidate is asked when no lease is granted, and further candidates after a shorter time")
 {
-    HeartbeatSchedule beats(true);
-    beats.start(Start);
-    CHECK_FALSE(beats.mustAskAnother(after(699)));
-    CHECK(beats.mustAskAnother(after(700)));
-    beats.askedAnother(after(700));
-    CHECK_FALSE(beats.mustAskAnother(after(949)));
-    CHECK(beats.mustAskAnother(after(950)));
-    beats.granted(after(960));
-    CHECK_FALSE(beats.mustAskAnother(after(1659)));
-    CHECK(beats.mustAskAnother(after(1660)));
+    HeartbeatSchedule schedule(true);
+    schedule.start(Start);
+    CHECK_FALSE(schedule.mustAskNextCandidate(after(699)));
+    CHECK(schedule.mustAskNextCandidate(after(700)));
+    schedule.onNextCandidateAsked(after(700));
+    CHECK_FALSE(schedule.mustAskNextCandidate(after(949)));
+    CHECK(schedule.mustAskNextCandidate(after(950)));
+    schedule.onLeaseGranted(after(960));
+    CHECK_FALSE(schedule.mustAskNextCandidate(after(1659)));
+    CHECK(schedule.mustAskNextCandidate(after(1660)));
 }
--- a/tests/control/leadersearchtest.cpp
+++ b/tests/control/leadersearchtest.cpp
@@ -15,51 +15,51 @@
 
 }
 
-// What callers see: after the leader froze, every VM refuses for as long as it stays frozen and longer, although a new leader was elected.
-// The new leader is not among the VMs that the settings name. Its first answers are late, so the replicas that follow it ask the next
-// candidate, and whoever asks them is sent to a candidate too: nobody ever names the leader again.
-TEST_CASE("a replica that follows a leader names it whatever goes unanswered")
+// Guards against VMs that refuse all callers after the leader froze, although a new one was elected that the settings do not name. If its first
+// replies are late, replicas that follow it would ask the next candidate and pass that candidate on as a hint, so that no VM ever names the leader
+// again.
+TEST_CASE("a replica that follows a leader names it whatever requests get no reply")
 {
     LeaderSearch search({SeedA, SeedB});
-    search.followed(Leader);
-    search.learned(Leader);
-    search.gaveNoAnswer(Leader);
-    search.learned(SeedB);
+    search.setFollowedLeader(Leader);
+    search.onLeaderHint(Leader);
+    search.onNoReply(Leader);
+    search.onLeaderHint(SeedB);
     CHECK(search.leader() == Leader);
-    SECTION("until it hears no leader any more")
+    SECTION("until it follows no leader any more")
     {
-        search.followed({});
+        search.setFollowedLeader({});
         CHECK(search.leader() == SeedB);
-        search.gaveNoAnswer(SeedB);
+        search.onNoReply(SeedB);
         CHECK(search.leader() == SeedA);
     }
 }
 
-// What callers see: an entry VM that was restarted refuses everything while the core is cut in two, though the other half has a leader.
-// All replicas that its settings name are on the far side of the cut; it had a lease before, whose leader knew the others.
-TEST_CASE("replicas that the last leader named are asked when those of the settings are silent")
+// Guards against a restarted entry VM that refuses all requests during a partition of the core in which the other half has a leader. All replicas
+// that its settings name are unreachable; the leader of its former lease named the others.
+TEST_CASE("replicas that the last leader named are asked when those of the settings do not reply")
 {
     LeaderSearch search({SeedA, SeedB});
-    search.learned(SeedA);
-    search.learnedReplicas({SeedA, SeedB, Leader});
+    search.onLeaderHint(SeedA);
+    search.setReplicas({SeedA, SeedB, Leader});
     std::set<VmName> asked;
-    for (int silence = 0; silence < 3; ++silence) {
+    for (int attempt = 0; attempt < 3; ++attempt) {
         asked.insert(search.leader());
-        search.gaveNoAnswer(search.leader());
+        search.onNoReply(search.leader());
     }
     CHECK(asked.contains(Leader));
 }
 
-// What callers see: no VM ever gets a lease after a start. Two replicas that hear no leader take each other for it; whoever asks one is sent
-// to the other, at once and for ever, and never asks a third.
-TEST_CASE("a VM that only guesses the leader names nobody")
+// Guards against VMs that never get a lease after a start: two replicas without a leader that take each other for it would send each VM that asks one
+// of them to the other for ever, and a third would never be asked.
+TEST_CASE("a VM that only presumes a leader gives no hint")
 {
     LeaderSearch search({SeedA, SeedB});
     CHECK_FALSE(search.hint());
-    search.learned(SeedB);
+    search.onLeaderHint(SeedB);
     CHECK_FALSE(search.hint());
-    search.answered(SeedB);
+    search.onLeaderReply(SeedB);
     CHECK(search.hint() == SeedB);
-    search.gaveNoAnswer(SeedB);
+    search.onNoReply(SeedB);
     CHECK_FALSE(search.hint());
 }
--- a/tests/control/routehistorytest.cpp
+++ b/tests/control/routehistorytest.cpp
@@ -130,15 +130,15 @@
     *other.mutable_routes() = v1::RoutesUpdate();
     other.mutable_routes()->set_version(1);
     other.mutable_routes()->set_packed_table(packPublication(wrong, {}).packed_table());
-    REQUIRE(follower.update(other) == Follower::Taken::Applied);
+    REQUIRE(follower.applyUpdate(other) == Follower::UpdateResult::Applied);
     publish(routeTable(2, 101));
-    CHECK(follower.update(makeConfigUpdate(state, Revision{0}, 1)) == Follower::Taken::Gap);
-    const v1::ConfigHeartbeat beat = follower.beat(TimePoint{});
-    CHECK(beat.gap());
-    REQUIRE(beat.routes_version() == 0);
-    CHECK(follower.update(makeConfigUpdate(state, Revision{0}, beat.routes_version())) == Follower::Taken::Applied);
+    CHECK(follower.applyUpdate(makeConfigUpdate(state, Revision{0}, 1)) == Follower::UpdateResult::Gap);
+    const v1::ConfigHeartbeat heartbeat = follower.makeHeartbeat(TimePoint{});
+    CHECK(heartbeat.gap());
+    REQUIRE(heartbeat.routes_version() == 0);
+    CHECK(follower.applyUpdate(makeConfigUpdate(state, Revision{0}, heartbeat.routes_version())) == Follower::UpdateResult::Applied);
     CHECK(sorted(*follower.routes()) == sorted(routeTable(2, 101)));
-    CHECK(follower.beat(TimePoint{}).routes_version() == 2);
+    CHECK(follower.makeHeartbeat(TimePoint{}).routes_version() == 2);
 }
 
 TEST_CASE("a publication that can't be unpacked is refused by the state machine, and a snapshot brings the last good one back")
--- a/tests/control/virtualcluster.cpp
+++ b/tests/control/virtualcluster.cpp
@@ -11,7 +11,7 @@
 {
 
 constexpr Duration Step = std::chrono::milliseconds(10);
-constexpr Duration BeatInterval = std::chrono::milliseconds(500);
+constexpr Duration HeartbeatInterval = std::chrono::milliseconds(500);
 constexpr int VmsPerDataCentre = 3;
 
 }
@@ -57,7 +57,7 @@
         .incarnation = m_random() >> 1,
         .keepAdmitting = m_options.keepAdmitting,
     });
-    m_vms[static_cast<std::size_t>(vm)].nextBeat = {};
+    m_vms[static_cast<std::size_t>(vm)].nextHeartbeatAt = {};
 }
 
 void VirtualCluster::startLeader(int vm)
@@ -102,7 +102,7 @@
     if (message.envelope.has_config_heartbeat() && message.to == m_leader) {
         m_leadership->heartbeat(nameOf(message.from), message.envelope.config_heartbeat(), clockOf(m_leader));
     } else if (message.envelope.has_config_lease()) {
-        target.follower->granted(message.envelope.config_lease());
+        target.follower->handleLease(message.envelope.config_lease());
     } else if (message.envelope.has_config_update()) {
         takeUpdate(message.to, message.envelope.config_update());
     }
@@ -116,17 +116,17 @@
         relayed.mutable_config_update()->mutable_relay()->Assign(branch.relay.begin(), branch.relay.end());
         send(vm, branch.child, relayed);
     }
-    if (m_vms[static_cast<std::size_t>(vm)].follower->update(update) != Follower::Taken::Old) {
-        beat(vm);
+    if (m_vms[static_cast<std::size_t>(vm)].follower->applyUpdate(update) != Follower::UpdateResult::Outdated) {
+        sendHeartbeat(vm);
     }
 }
 
-void VirtualCluster::beat(int vm)
+void VirtualCluster::sendHeartbeat(int vm)
 {
     Vm &held = m_vms[static_cast<std::size_t>(vm)];
-    held.nextBeat = clockOf(vm) + BeatInterval;
+    held.nextHeartbeatAt = clockOf(vm) + HeartbeatInterval;
     v1::Envelope envelope;
-    *envelope.mutable_config_heartbeat() = held.follower->beat(clockOf(vm));
+    *envelope.mutable_config_heartbeat() = held.follower->makeHeartbeat(clockOf(vm));
     send(vm, nameOf(m_leader), envelope);
 }
 
@@ -140,8 +140,8 @@
     }
     for (int i = 0; i < m_options.vms; ++i) {
         const Vm &vm = m_vms[static_cast<std::size_t>(i)];
-        if (vm.up && clockOf(i) >= vm.nextBeat) {
-            beat(i);
+        if (vm.up && clockOf(i) >= vm.nextHeartbeatAt) {
+            sendHeartbeat(i);
         }
     }
     if (m_vms[static_cast<std::size_t>(m_leader)].up) {
--- a/tests/control/virtualcluster.h
+++ b/tests/control/virtualcluster.h
@@ -87,7 +87,7 @@
         std::unique_ptr<Follower> follower;
         double clockRate = 1;
         Duration clockOffset{};
-        TimePoint nextBeat{};
+        TimePoint nextHeartbeatAt{};
         bool cutOut = false;
         bool cutIn = false;
         bool up = true;
@@ -113,7 +113,7 @@
     void startLeader(int vm);
     void send(int from, const VmName &to, const v1::Envelope &envelope);
     void deliver(const Message &message);
-    void beat(int vm);
+    void sendHeartbeat(int vm);
     void takeUpdate(int vm, const v1::ConfigUpdate &update);
     void apply(v1::Command command);
     void check();
