--- a/src/control/cellassigner.cpp
+++ b/src/control/cellassigner.cpp
@@ -18,36 +18,36 @@
     return cells;
 }
 
-/// What the decision counts while it assigns several cells at once.
+/// The VMs and how many cells each holds, updated while several cells are assigned at once.
 class Candidates
 {
 public:
     Candidates(const StateMachine &state, const Distribution &distribution, TimePoint now)
     {
         for (const VmStatus &vm : distribution.statuses(now)) {
-            m_all.emplace(vm.vm.value, vm);
+            m_vms.emplace(vm.vm.value, vm);
         }
         for (const auto &[name, cell] : state.cells()) {
-            ++m_held[cell.vm()];
+            ++m_cellsPerVm[cell.vm()];
         }
     }
 
     const VmStatus *find(const std::string &vm) const
     {
-        const auto found = m_all.find(vm);
-        return found == m_all.end() ? nullptr : &found->second;
+        const auto found = m_vms.find(vm);
+        return found == m_vms.end() ? nullptr : &found->second;
     }
 
-    bool any() const
+    bool anyAvailable() const
     {
-        return std::ranges::any_of(m_all, [](const auto &entry) { return entry.second.live && !entry.second.draining; });
+        return std::ranges::any_of(m_vms, [](const auto &entry) { return entry.second.live && !entry.second.draining; });
     }
 
-    /// A live VM: of the cell's data centre before others, then the one with the fewest cells; or null.
+    /// Returns the live VM for a cell: one of the cell's data centre before others, then the one with the fewest cells; null if there is none.
     const VmStatus *choose(const DataCentreName &dataCentre)
     {
         const VmStatus *best = nullptr;
-        for (const auto &[name, vm] : m_all) {
+        for (const auto &[name, vm] : m_vms) {
             if (!vm.live || vm.draining) {
                 continue;
             }
@@ -56,7 +56,7 @@
             }
         }
         if (best) {
-            ++m_held[best->vm.value];
+            ++m_cellsPerVm[best->vm.value];
         }
         return best;
     }
@@ -64,15 +64,15 @@
 private:
     std::tuple<bool, int> cost(const VmStatus &vm, const DataCentreName &dataCentre) const
     {
-        const auto held = m_held.find(vm.vm.value);
-        return {vm.dataCentre != dataCentre, held == m_held.end() ? 0 : held->second};
+        const auto count = m_cellsPerVm.find(vm.vm.value);
+        return {vm.dataCentre != dataCentre, count == m_cellsPerVm.end() ? 0 : count->second};
     }
 
-    std::map<std::string, VmStatus> m_all;
-    std::map<std::string, int> m_held;
+    std::map<std::string, VmStatus> m_vms;
+    std::map<std::string, int> m_cellsPerVm;
 };
 
-v1::CellAssignment assignment(const std::string &cell, std::uint64_t lastEpoch, const VmStatus *vm)
+v1::CellAssignment makeAssignment(const std::string &cell, std::uint64_t lastEpoch, const VmStatus *vm)
 {
     v1::CellAssignment next;
     next.set_cell(cell);
@@ -84,44 +84,45 @@
     return next;
 }
 
-/// The VM that held the cell until nobody did may still act on it, until it has the newest version or has lapsed.
+/// Returns whether the former holder may still schedule the cell: it neither has the version in force that took the cell from it, nor has certainly
+/// lapsed.
 bool mayStillBeHeld(const v1::CellAssignment &cell, const Distribution &distribution, TimePoint now)
 {
-    const VmName before{cell.before()};
-    return !before.value.empty() && !distribution.hasInForce(before, cell.version()) && distribution.mayHoldLease(before, now);
+    const VmName formerHolder{cell.before()};
+    return !formerHolder.value.empty() && !distribution.hasInForce(formerHolder, cell.version()) && distribution.mayHoldLease(formerHolder, now);
 }
 
 }
 
 std::vector<v1::CellAssignment> nextCellAssignments(const StateMachine &state, const Distribution &distribution, TimePoint now)
 {
-    std::vector<v1::CellAssignment> next;
+    std::vector<v1::CellAssignment> assignments;
     Candidates candidates(state, distribution, now);
     for (const auto &[name, dataCentre] : declaredCells(state.declarations())) {
         const auto known = state.cells().find(name);
-        const v1::CellAssignment held = known == state.cells().end() ? v1::CellAssignment() : known->second;
-        const VmStatus *holder = candidates.find(held.vm());
-        if (!held.vm().empty()) {
-            const bool restarted = holder && holder->live && holder->incarnation != held.incarnation();
+        const v1::CellAssignment current = known == state.cells().end() ? v1::CellAssignment() : known->second;
+        const VmStatus *holder = candidates.find(current.vm());
+        if (!current.vm().empty()) {
+            const bool restarted = holder && holder->live && holder->incarnation != current.incarnation();
             if (restarted) {
-                next.push_back(assignment(name, held.epoch(), holder));
-            } else if (holder && holder->live && holder->draining && candidates.any()) {
-                next.push_back(assignment(name, held.epoch(), nullptr));
-            } else if (!distribution.mayHoldLease(VmName{held.vm()}, now)) {
+                assignments.push_back(makeAssignment(name, current.epoch(), holder));
+            } else if (holder && holder->live && holder->draining && candidates.anyAvailable()) {
+                assignments.push_back(makeAssignment(name, current.epoch(), nullptr));
+            } else if (!distribution.mayHoldLease(VmName{current.vm()}, now)) {
                 if (const VmStatus *chosen = candidates.choose(dataCentre)) {
-                    next.push_back(assignment(name, held.epoch(), chosen));
+                    assignments.push_back(makeAssignment(name, current.epoch(), chosen));
                 }
             }
             continue;
         }
-        if (mayStillBeHeld(held, distribution, now)) {
+        if (mayStillBeHeld(current, distribution, now)) {
             continue;
         }
         if (const VmStatus *chosen = candidates.choose(dataCentre)) {
-            next.push_back(assignment(name, held.epoch(), chosen));
+            assignments.push_back(makeAssignment(name, current.epoch(), chosen));
         }
     }
-    return next;
+    return assignments;
 }
 
 }
--- a/src/control/controltask.cpp
+++ b/src/control/controltask.cpp
@@ -309,7 +309,7 @@
         takeLease(message.from, message.envelope.config_lease());
         break;
     case v1::Envelope::kConfigUpdate:
-        takeUpdate(message.envelope.config_update());
+        handleUpdate(message.envelope.config_update());
         break;
     case v1::Envelope::kOutcomeReport:
         takeOutcomes(message.from, message.envelope);
@@ -322,7 +322,7 @@
 void ControlTask::decideMoves(TimePoint now)
 {
     m_nextLook = now + std::chrono::milliseconds(EvaluationIntervalMs);
-    if (!m_leadership.leads()) {
+    if (!m_leadership.isLeading()) {
         m_moveLeader.reset();
         return;
     }
@@ -342,7 +342,7 @@
 
 void ControlTask::proposeRolloutVerdicts()
 {
-    for (const v1::RolloutVerdict &verdict : decideRollouts(m_state.rollouts(), m_leadership.tallies(), EventLoop::wallNow())) {
+    for (const v1::RolloutVerdict &verdict : decideRollouts(m_state.rollouts(), m_leadership.fleetAggregate(), EventLoop::wallNow())) {
         v1::Command command;
         command.set_command_id("rollout-verdict/" + verdict.service() + "/" + verdict.target() + "/" + std::to_string(verdict.started_at_ms()) + "/"
                                + std::to_string(verdict.state()) + "/" + std::to_string(verdict.share_permille()));
@@ -361,7 +361,7 @@
 /// The entry task hands its report to the control task of its own VM, which knows the leader.
 void ControlTask::takeOutcomes(const VmName &from, v1::Envelope &envelope)
 {
-    if (m_leadership.leads()) {
+    if (m_leadership.isLeading()) {
         m_moveLeader.take(envelope.outcome_report());
     } else if (from == m_options.vm && m_leaderSearch.leader() != m_options.vm) {
         m_options.send(m_leaderSearch.leader(), std::move(envelope));
@@ -395,12 +395,12 @@
     }
 }
 
-void ControlTask::takeUpdate(const v1::ConfigUpdate &update)
+void ControlTask::handleUpdate(const v1::ConfigUpdate &update)
 {
     v1::Envelope relayed;
     *relayed.mutable_config_update() = update;
     const std::vector<std::string> targets(update.relay().begin(), update.relay().end());
-    for (const Branch &branch : branches(targets)) {
+    for (const Branch &branch : splitFanOut(targets)) {
         relayed.mutable_config_update()->mutable_relay()->Assign(branch.relay.begin(), branch.relay.end());
         m_options.send(branch.child, relayed);
     }
--- a/src/control/controltask.h
+++ b/src/control/controltask.h
@@ -211,7 +211,7 @@
     void askForLease(TimePoint now);
     void sendHeartbeat(TimePoint now);
     void sendDue(TimePoint now);
-    void takeUpdate(const v1::ConfigUpdate &update);
+    void handleUpdate(const v1::ConfigUpdate &update);
     void takeLease(const VmName &from, const v1::ConfigLease &lease);
     void configurationIsNew();
     void feedWatchers();
--- a/src/control/controltaskleader.cpp
+++ b/src/control/controltaskleader.cpp
@@ -86,7 +86,7 @@
     if (!bytes.empty() && command.ParseFromString(bytes)) {
         const Revision before = m_state.declarations().revision();
         reply = m_state.apply(command);
-        if (m_leadership.leads() && m_state.declarations().revision() != before) {
+        if (m_leadership.isLeading() && m_state.declarations().revision() != before) {
             m_orders.declared(m_state.declarations());
             logChange("control", "revision-accepted", {{"revision", std::to_string(m_state.declarations().revision().value)}});
         }
@@ -99,7 +99,7 @@
     const TimePoint now = EventLoop::now();
     m_log->flush(now);
     followLeadership(now);
-    m_leadership.applied(now);
+    m_leadership.publishIfChanged(now);
     m_pending.answerDecided();
 }
 
@@ -107,16 +107,16 @@
 /// another VM may have led in between, and granted leases that this one knows nothing of.
 void ControlTask::followLeadership(TimePoint now)
 {
-    if (m_leadership.leads() && (!m_log->isLeader() || m_log->term() != m_ledTerm)) {
+    if (m_leadership.isLeading() && (!m_log->isLeader() || m_log->term() != m_ledTerm)) {
         m_leadership.stopLeading();
         m_orders.stopLeading();
         m_pending.forget();
     }
-    if (!m_leadership.leads() && m_log->isLeader() && m_log->hasReadableState(now)) {
+    if (!m_leadership.isLeading() && m_log->isLeader() && m_log->hasReadableState(now)) {
         m_ledTerm = m_log->term();
-        m_leadership.lead(now);
+        m_leadership.startLeading(now);
         m_orders.declared(m_state.declarations());
-        m_orders.lead(Epoch{m_ledTerm}, now + LeaseOptions{}.longest());
+        m_orders.lead(Epoch{m_ledTerm}, now + LeaseOptions{}.maxLength());
     }
     answerWaitingBeats(now);
 }
@@ -141,7 +141,7 @@
 {
     const TimePoint now = EventLoop::now();
     const std::uint64_t call = request.call();
-    if (!m_leadership.leads() || !hasQuorum(now)) {
+    if (!m_leadership.isLeading() || !hasQuorum(now)) {
         v1::ProposeReply hint;
         hint.set_leader(hintFor(from));
         sendReply(from, call, std::move(hint));
@@ -205,7 +205,7 @@
 /// under the old configuration for longer than operators may count on.
 void ControlTask::replyWhenConfirmed(const VmName &from, std::uint64_t call, const v1::ProposeReply &reply)
 {
-    m_leadership.waitUntilConfirmed([this, from, call, reply] { sendReply(from, call, reply); }, EventLoop::now());
+    m_leadership.notifyWhenConfirmed([this, from, call, reply] { sendReply(from, call, reply); }, EventLoop::now());
 }
 
 void ControlTask::replyWhenInForce(const VmName &from, std::uint64_t call, const v1::ProposeReply &reply)
@@ -215,7 +215,7 @@
         waited.mutable_reply()->mutable_lapsed_vms()->Assign(lapsed.begin(), lapsed.end());
         sendReply(from, call, std::move(waited));
     };
-    m_leadership.waitUntilInForce(inForce, EventLoop::now());
+    m_leadership.notifyWhenInForce(inForce, EventLoop::now());
 }
 
 void ControlTask::sendReply(const VmName &to, std::uint64_t call, v1::ProposeReply reply)
@@ -278,8 +278,8 @@
 
 void ControlTask::takeBeat(const VmName &from, const v1::ConfigHeartbeat &heartbeat)
 {
-    if (m_leadership.leads()) {
-        m_leadership.heartbeat(from, heartbeat, EventLoop::now());
+    if (m_leadership.isLeading()) {
+        m_leadership.handleHeartbeat(from, heartbeat, EventLoop::now());
         return;
     }
     const std::string leader = hintFor(from);
@@ -304,7 +304,7 @@
     if (m_unansweredBeats.empty()) {
         return;
     }
-    const bool leads = m_leadership.leads();
+    const bool leads = m_leadership.isLeading();
     const VmName leader = m_leaderSearch.hint().value_or(VmName{});
     if (!leads && (leader.value.empty() || leader == m_options.vm)) {
         return;
@@ -312,7 +312,7 @@
     const std::map<VmName, v1::ConfigHeartbeat> waiting = std::exchange(m_unansweredBeats, {});
     for (const auto &[vm, heartbeat] : waiting) {
         if (leads) {
-            m_leadership.heartbeat(vm, heartbeat, now);
+            m_leadership.handleHeartbeat(vm, heartbeat, now);
         } else {
             sendHint(vm, heartbeat, leader.value);
         }
--- a/src/control/distribution.cpp
+++ b/src/control/distribution.cpp
@@ -10,10 +10,10 @@
 namespace
 {
 
-/// Two beats: the first after a repair may have been sent before it came.
+/// Two heartbeat intervals: the first heartbeat after a repair may have been sent before the repair arrived.
 constexpr Duration RepairInterval = std::chrono::seconds(1);
-/// The interval doubles with each repair without effect, so many times at most.
-constexpr int MostDoublings = 3;
+/// Limit on the doublings of RepairInterval; it doubles with each repair without effect.
+constexpr int MaxDoublings = 3;
 
 }
 
@@ -25,115 +25,116 @@
     }
 }
 
-void Distribution::lead(std::uint64_t version, TimePoint now)
+void Distribution::startLeading(std::uint64_t version, TimePoint now)
 {
-    m_leadSince = now;
-    // When the versions were accepted is unknown, so no grace: each VM needs the newest for its first lease.
-    m_published = {Published{.version = version, .at = now - m_options.grace, .spreadBy = now}};
-    m_confirmed = 0;
+    m_leadingSince = now;
+    // The acceptance times of the versions are unknown, so no VM gets the grace: each needs the newest version for its first lease.
+    m_publications = {Publication{.version = version, .publishedAt = now - m_options.grace, .expectedBy = now}};
+    m_confirmedVersion = 0;
     for (auto &[name, vm] : m_vms) {
-        vm.granted.reset();
-        vm.heard.reset();
+        vm.lastGrantedAt.reset();
+        vm.lastSeenAt.reset();
         vm.version = 0;
-        vm.repairAgainAt.reset();
-        vm.repairsWithoutEffect = 0;
+        vm.nextRepairAt.reset();
+        vm.ineffectiveRepairs = 0;
     }
 }
 
-void Distribution::published(std::uint64_t version, TimePoint now, std::size_t updateBytes)
+void Distribution::recordPublication(std::uint64_t version, TimePoint now, std::size_t updateBytes)
 {
-    m_published.push_back(Published{.version = version, .at = now, .spreadBy = now + m_options.repairAfter + transferTimeout(updateBytes)});
-    forgetOldVersions(now);
+    m_publications.push_back(Publication{.version = version, .publishedAt = now, .expectedBy = now + m_options.repairDelay + transferTimeout(updateBytes)});
+    expireOldVersions(now);
 }
 
-void Distribution::forgetOldVersions(TimePoint now)
+void Distribution::expireOldVersions(TimePoint now)
 {
-    while (m_published.size() > 1 && m_published[1].at + m_options.grace <= now) {
-        m_published.pop_front();
+    while (m_publications.size() > 1 && m_publications[1].publishedAt + m_options.grace <= now) {
+        m_publications.pop_front();
     }
 }
 
 TimePoint Distribution::leaseEnd(const Vm &vm) const
 {
-    return (vm.granted ? *vm.granted : m_leadSince) + m_options.longest();
+    return (vm.lastGrantedAt ? *vm.lastGrantedAt : m_leadingSince) + m_options.maxLength();
 }
 
-/// A VM that goes on with a lease has the grace to take up new versions. Any other may have had a newer one in force before (in an
-/// earlier process, or under another leader) than the grace would ask for: it needs the newest, so that it never goes back.
+/// Returns the version that a VM needs for a lease. A VM that renews its lease has the grace to apply new versions. Any other VM may have had a newer
+/// version in force (in an earlier process, or under another leader) than the grace would ask for: it needs the newest one, so that its configuration
+/// never goes back.
 std::uint64_t Distribution::requiredVersion(const Vm &vm, TimePoint now) const
 {
-    const bool goesOn = vm.granted && vm.grantedIncarnation == vm.incarnation && now < leaseEnd(vm);
-    if (!goesOn) {
-        return m_published.back().version;
+    const bool renewsLease = vm.lastGrantedAt && vm.grantedIncarnation == vm.incarnation && now < leaseEnd(vm);
+    if (!renewsLease) {
+        return m_publications.back().version;
     }
-    std::uint64_t required = m_confirmed;
-    for (const Published &published : m_published) {
-        if (published.at + m_options.grace <= now) {
-            required = std::max(required, published.version);
+    std::uint64_t required = m_confirmedVersion;
+    for (const Publication &publication : m_publications) {
+        if (publication.publishedAt + m_options.grace <= now) {
+            required = std::max(required, publication.version);
         }
     }
     return required;
 }
 
-std::optional<v1::ConfigLease> Distribution::heartbeat(const v1::ConfigHeartbeat &heartbeat, bool hasQuorum, TimePoint now)
+std::optional<v1::ConfigLease> Distribution::handleHeartbeat(const v1::ConfigHeartbeat &heartbeat, bool hasQuorum, TimePoint now)
 {
     Vm &vm = m_vms[VmName{heartbeat.vm()}];
-    if (vm.incarnation == heartbeat.incarnation() && heartbeat.beat() <= vm.lastBeat) {
+    if (vm.incarnation == heartbeat.incarnation() && heartbeat.beat() <= vm.lastHeartbeat) {
         return {};
     }
-    if (vm.incarnation != heartbeat.incarnation() || heartbeat.version() >= vm.repairedTo) {
-        vm.repairAgainAt.reset();
-        vm.repairsWithoutEffect = 0;
+    if (vm.incarnation != heartbeat.incarnation() || heartbeat.version() >= vm.repairedToVersion) {
+        vm.nextRepairAt.reset();
+        vm.ineffectiveRepairs = 0;
     }
     vm.incarnation = heartbeat.incarnation();
-    vm.gap = heartbeat.gap();
-    vm.lastBeat = heartbeat.beat();
+    vm.reportsGap = heartbeat.gap();
+    vm.lastHeartbeat = heartbeat.beat();
     vm.version = heartbeat.version();
     vm.revision = Revision{heartbeat.revision()};
     vm.dataCentre = DataCentreName{heartbeat.data_centre()};
     vm.draining = heartbeat.draining();
     vm.keepAdmitting = std::chrono::milliseconds(heartbeat.keep_admitting_ms());
-    vm.heard = now;
-    forgetOldVersions(now);
+    vm.lastSeenAt = now;
+    expireOldVersions(now);
     if (!hasQuorum || heartbeat.version() < requiredVersion(vm, now)) {
         return {};
     }
-    vm.granted = now;
+    vm.lastGrantedAt = now;
     vm.grantedIncarnation = vm.incarnation;
     v1::ConfigLease lease;
     lease.set_beat(heartbeat.beat());
     lease.set_length_ms(static_cast<std::uint32_t>(std::chrono::duration_cast<std::chrono::milliseconds>(m_options.length).count()));
-    lease.set_version(m_published.back().version);
+    lease.set_version(m_publications.back().version);
     return lease;
 }
 
 bool Distribution::needsRepair(const VmName &name, TimePoint now) const
 {
     const auto found = m_vms.find(name);
-    if (found == m_vms.end() || found->second.version >= m_published.back().version) {
+    if (found == m_vms.end() || found->second.version >= m_publications.back().version) {
         return false;
     }
     const Vm &vm = found->second;
-    if (vm.repairAgainAt && now < *vm.repairAgainAt) {
+    if (vm.nextRepairAt && now < *vm.nextRepairAt) {
         return false;
     }
-    return vm.gap || m_published.back().spreadBy <= now || vm.version < m_published.front().version;
+    return vm.reportsGap || m_publications.back().expectedBy <= now || vm.version < m_publications.front().version;
 }
 
-void Distribution::repairSent(const VmName &name, std::size_t updateBytes, TimePoint now)
+void Distribution::recordRepair(const VmName &name, std::size_t updateBytes, TimePoint now)
 {
     Vm &vm = m_vms[name];
-    const int doublings = std::min(vm.repairsWithoutEffect, MostDoublings);
-    vm.repairedTo = m_published.back().version;
-    vm.repairAgainAt = now + (RepairInterval + transferTimeout(updateBytes)) * (1 << doublings);
-    vm.repairsWithoutEffect += 1;
+    const int doublings = std::min(vm.ineffectiveRepairs, MaxDoublings);
+    vm.repairedToVersion = m_publications.back().version;
+    vm.nextRepairAt = now + (RepairInterval + transferTimeout(updateBytes)) * (1 << doublings);
+    vm.ineffectiveRepairs += 1;
 }
 
-std::vector<std::string> Distribution::reachable(TimePoint now) const
+std::vector<std::string> Distribution::reachableVms(TimePoint now) const
 {
     std::vector<std::string> names;
     for (const auto &[name, vm] : m_vms) {
-        if (vm.heard && now < *vm.heard + m_options.length) {
+        if (vm.lastSeenAt && now < *vm.lastSeenAt + m_options.length) {
             names.push_back(name.value);
         }
     }
@@ -143,7 +144,7 @@
 bool Distribution::mayHoldLease(const VmName &name, TimePoint now) const
 {
     const auto found = m_vms.find(name);
-    return now < (found == m_vms.end() ? m_leadSince + m_options.longest() : leaseEnd(found->second));
+    return now < (found == m_vms.end() ? m_leadingSince + m_options.maxLength() : leaseEnd(found->second));
 }
 
 bool Distribution::hasInForce(const VmName &name, std::uint64_t version) const
@@ -152,39 +153,38 @@
     return found != m_vms.end() && found->second.version >= version;
 }
 
-bool Distribution::inForceWithin(std::uint64_t version, Duration within, TimePoint now) const
+bool Distribution::isInForceWithin(std::uint64_t version, Duration within, TimePoint now) const
 {
     const TimePoint end = now + within;
-    // VMs that this leader has not heard of may hold leases of the one before.
-    if (end < m_leadSince + m_options.longest() + m_options.certainlyOver(m_options.keepAdmitting)) {
+    // VMs that have not sent a heartbeat to this leader may hold leases of the leader before it.
+    if (end < m_leadingSince + m_options.maxLength() + m_options.withClockMargin(m_options.keepAdmitting)) {
         return false;
     }
     return std::ranges::all_of(m_vms, [this, version, end](const auto &item) {
         const Vm &vm = item.second;
-        const Duration keepAdmitting = vm.heard ? vm.keepAdmitting : m_options.keepAdmitting;
-        return vm.version >= version || end >= leaseEnd(vm) + m_options.certainlyOver(keepAdmitting);
+        const Duration keepAdmitting = vm.lastSeenAt ? vm.keepAdmitting : m_options.keepAdmitting;
+        return vm.version >= version || end >= leaseEnd(vm) + m_options.withClockMargin(keepAdmitting);
     });
 }
 
-void Distribution::confirmed(std::uint64_t version)
+void Distribution::recordConfirmation(std::uint64_t version)
 {
-    m_confirmed = std::max(m_confirmed, version);
+    m_confirmedVersion = std::max(m_confirmedVersion, version);
 }
 
-Distribution::Spread Distribution::spread(std::uint64_t version, TimePoint now) const
+Distribution::Progress Distribution::progress(std::uint64_t version, TimePoint now) const
 {
-    Spread spread;
+    Progress progress;
     for (const auto &[name, vm] : m_vms) {
         if (vm.version >= version) {
             continue;
         }
-        // A VM that is still looking for this leader has lapsed too, but only for a moment: naming it would send operators after a VM
-        // that is well.
-        const Duration stillLooking = vm.heard ? Duration::zero() : m_options.findLeader;
-        const bool mayAdmit = now < leaseEnd(vm) + vm.keepAdmitting + stillLooking;
-        (mayAdmit ? spread.pending : spread.lapsed).push_back(name.value);
+        // A VM that still searches for this leader has lapsed too, but only for a moment: listing it would make operators look into a healthy VM.
+        const Duration searchAllowance = vm.lastSeenAt ? Duration::zero() : m_options.leaderSearchTimeout;
+        const bool mayAdmit = now < leaseEnd(vm) + vm.keepAdmitting + searchAllowance;
+        (mayAdmit ? progress.pending : progress.lapsed).push_back(name.value);
     }
-    return spread;
+    return progress;
 }
 
 std::vector<VmStatus> Distribution::statuses(TimePoint now) const
@@ -198,13 +198,13 @@
             .version = vm.version,
             .incarnation = vm.incarnation,
             .draining = vm.draining,
-            .live = vm.granted && now < leaseEnd(vm),
+            .live = vm.lastGrantedAt && now < leaseEnd(vm),
         });
     }
     return statuses;
 }
 
-std::vector<Branch> branches(const std::vector<std::string> &targets)
+std::vector<Branch> splitFanOut(const std::vector<std::string> &targets)
 {
     std::vector<Branch> split;
     for (std::size_t i = 0; i < targets.size(); ++i) {
--- a/src/control/distributionlog.cpp
+++ b/src/control/distributionlog.cpp
@@ -8,13 +8,13 @@
 namespace
 {
 
-constexpr Duration RepairLineInterval = std::chrono::seconds(1);
+constexpr Duration RepairLogInterval = std::chrono::seconds(1);
 
 }
 
-void DistributionLog::published(const Publication &publication, TimePoint now)
+void DistributionLog::recordPublication(const Publication &publication, TimePoint now)
 {
-    m_spreading = publication.version;
+    m_distributingVersion = publication.version;
     m_publishedAt = now;
     if (m_metrics) {
         m_metrics->published.add();
@@ -27,7 +27,7 @@
                {"vms", std::to_string(publication.vms)}});
 }
 
-void DistributionLog::repaired(std::size_t updateBytes)
+void DistributionLog::recordRepair(std::size_t updateBytes)
 {
     m_repairs += 1;
     m_repairBytes += updateBytes;
@@ -37,30 +37,30 @@
     }
 }
 
-void DistributionLog::confirmed(std::uint64_t version, Duration waited)
+void DistributionLog::recordConfirmation(std::uint64_t version, Duration waited)
 {
     logChange("control", "version-confirmed", {{"version", std::to_string(version)}, {"after_ms", std::to_string(wholeMilliseconds(waited))}});
     if (m_metrics) {
         m_metrics->confirmed.add();
-        m_metrics->secondsToConfirm.observe(std::chrono::duration<double>(waited).count());
+        m_metrics->confirmationSeconds.observe(std::chrono::duration<double>(waited).count());
     }
 }
 
-void DistributionLog::look(std::size_t pending, std::size_t lapsed, TimePoint now)
+void DistributionLog::recordProgress(std::size_t pending, std::size_t lapsed, TimePoint now)
 {
-    if (m_spreading && pending == 0) {
+    if (m_distributingVersion && pending == 0) {
         logChange("control",
                   "version-in-force",
-                  {{"version", std::to_string(*m_spreading)},
+                  {{"version", std::to_string(*m_distributingVersion)},
                    {"after_ms", std::to_string(wholeMilliseconds(now - m_publishedAt))},
                    {"lapsed_vms", std::to_string(lapsed)}});
         if (m_metrics) {
-            m_metrics->secondsToForce.observe(std::chrono::duration<double>(now - m_publishedAt).count());
+            m_metrics->inForceSeconds.observe(std::chrono::duration<double>(now - m_publishedAt).count());
         }
-        m_spreading.reset();
+        m_distributingVersion.reset();
     }
-    if (m_repairs > 0 && now >= m_nextRepairLine) {
-        m_nextRepairLine = now + RepairLineInterval;
+    if (m_repairs > 0 && now >= m_nextRepairLogAt) {
+        m_nextRepairLogAt = now + RepairLogInterval;
         logChange("control",
                   "updates-repaired",
                   {{"updates", std::to_string(m_repairs)}, {"bytes", std::to_string(m_repairBytes)}, {"pending_vms", std::to_string(pending)}});
@@ -69,9 +69,9 @@
     }
 }
 
-void DistributionLog::stop()
+void DistributionLog::reset()
 {
-    m_spreading.reset();
+    m_distributingVersion.reset();
     m_repairs = 0;
     m_repairBytes = 0;
 }
--- a/src/control/distributionlog.h
+++ b/src/control/distributionlog.h
@@ -10,7 +10,7 @@
 namespace cumindyke
 {
 
-/// The leader's lines and counts on how versions reach the VMs: one line for each published version, one when it is in force, and one a second for all
+/// Logs and counts how versions reach the VMs: one line for each published version, one when it is in force, and at most one a second for all
 /// repairs.
 class DistributionLog
 {
@@ -24,34 +24,35 @@
     {
         std::uint64_t version = 0;
         std::uint64_t routesVersion = 0;
-        /// Of the update without its relay list, as it goes to each VM.
+        /// Size of the update without its relay list, as sent to each VM.
         std::size_t updateBytes = 0;
         std::size_t vms = 0;
     };
 
-    void published(const Publication &publication, TimePoint now);
-    /// A VM was sent an update by itself.
-    void repaired(std::size_t updateBytes);
-    /// It is certain that the version will be in force in time.
-    void confirmed(std::uint64_t version, Duration waited);
-    /// How many VMs may still admit work under an older version than the last one published, and how many have stopped.
-    void look(std::size_t pending, std::size_t lapsed, TimePoint now);
-    /// The last version published, until it is in force.
-    std::optional<std::uint64_t> spreading() const
+    void recordPublication(const Publication &publication, TimePoint now);
+    /// Records an update that was sent as a repair.
+    void recordRepair(std::size_t updateBytes);
+    /// Records that the version was confirmed after the given wait.
+    void recordConfirmation(std::uint64_t version, Duration waited);
+    /// Records how many VMs may still admit work under an older version than the last one published (pending) and how many have stopped (lapsed);
+    /// logs what is due.
+    void recordProgress(std::size_t pending, std::size_t lapsed, TimePoint now);
+    /// The last version published, until it is in force on every VM.
+    std::optional<std::uint64_t> distributingVersion() const
     {
-        return m_spreading;
+        return m_distributingVersion;
     }
-    bool hasNews() const
+    bool hasUnloggedEvents() const
     {
-        return m_spreading || m_repairs > 0;
+        return m_distributingVersion || m_repairs > 0;
     }
-    void stop();
+    void reset();
 
 private:
     std::optional<DistributionMetrics> m_metrics;
-    std::optional<std::uint64_t> m_spreading;
+    std::optional<std::uint64_t> m_distributingVersion;
     TimePoint m_publishedAt{};
-    TimePoint m_nextRepairLine{};
+    TimePoint m_nextRepairLogAt{};
     std::size_t m_repairs = 0;
     std::size_t m_repairBytes = 0;
 };
--- a/src/control/distributionmetrics.h
+++ b/src/control/distributionmetrics.h
@@ -5,15 +5,15 @@
 namespace cumindyke
 {
 
-/// What the leader counts of how versions reach the VMs. Only the VM that leads adds to it.
+/// Metrics of how versions reach the VMs. Only the leader adds to them.
 struct DistributionMetrics
 {
     Counter published;
     Counter confirmed;
     Counter repairs;
     Counter repairBytes;
-    Histogram secondsToConfirm;
-    Histogram secondsToForce;
+    Histogram confirmationSeconds;
+    Histogram inForceSeconds;
 
     static DistributionMetrics of(Metrics &metrics)
     {
@@ -22,8 +22,8 @@
             .confirmed = metrics.counter("cumindyke_versions_confirmed_total", "Versions that were certain to be in force in time"),
             .repairs = metrics.counter("cumindyke_update_repairs_total", "Updates sent to VMs that lacked a version"),
             .repairBytes = metrics.counter("cumindyke_update_repair_bytes_total", "Bytes of these updates"),
-            .secondsToConfirm = metrics.histogram("cumindyke_version_confirm_seconds", "From the wait for a confirmation to it"),
-            .secondsToForce = metrics.histogram("cumindyke_version_in_force_seconds", "From the publication until no VM admits work under an older version"),
+            .confirmationSeconds = metrics.histogram("cumindyke_version_confirm_seconds", "From the wait for a confirmation to it"),
+            .inForceSeconds = metrics.histogram("cumindyke_version_in_force_seconds", "From the publication until no VM admits work under an older version"),
         };
     }
 };
--- a/src/control/fleetaggregate.cpp
+++ b/src/control/fleetaggregate.cpp
@@ -11,17 +11,17 @@
 namespace
 {
 
-/// As long as a VM may admit work after its last beat: until then its requests in flight and its demand count.
-constexpr Duration HeardLately = std::chrono::seconds(4);
+/// Time for which a VM may admit work after its last heartbeat: until then its requests in flight and its demand count.
+constexpr Duration VmTimeout = std::chrono::seconds(4);
 
-v1::VersionCounts growth(const v1::VersionCounts &now, const v1::VersionCounts &before)
+v1::VersionCounts growth(const v1::VersionCounts &current, const v1::VersionCounts &before)
 {
-    v1::VersionCounts grown = now;
-    grown.set_sent(now.sent() - before.sent());
-    grown.set_good(now.good() - before.good());
-    grown.set_bad(now.bad() - before.bad());
-    grown.set_head_ms(now.head_ms() - before.head_ms());
-    grown.set_heads(now.heads() - before.heads());
+    v1::VersionCounts grown = current;
+    grown.set_sent(current.sent() - before.sent());
+    grown.set_good(current.good() - before.good());
+    grown.set_bad(current.bad() - before.bad());
+    grown.set_head_ms(current.head_ms() - before.head_ms());
+    grown.set_heads(current.heads() - before.heads());
     return grown;
 }
 
@@ -38,59 +38,59 @@
 
 }
 
-void FleetAggregate::take(const VmName &vm, std::uint64_t incarnation, const v1::EntryTally &tally, TimePoint now)
+void FleetAggregate::recordTally(const VmName &vm, std::uint64_t incarnation, const v1::EntryTally &tally, TimePoint now)
 {
     const bool isNew = !m_vms.contains(vm);
     Vm &known = m_vms[vm];
     if (isNew) {
-        // What it counted before belongs to another leader's time: a new leader that took it for the present would find every limit spent.
+        // Earlier counts of the VM belong to the time of another leader: a new leader that counted them as current would find every limit spent.
         known.incarnation = incarnation;
-        remember(known, tally);
+        setCounts(known, tally);
     } else if (known.incarnation != incarnation) {
-        // Its counts begin at zero again; what the process before it had counted is in the totals.
+        // The counts of the new process begin at zero; those of the process before it are in the totals.
         known = Vm{.incarnation = incarnation};
     }
     if (isNew || known.dataCentre != tally.data_centre() || known.draining != tally.draining()) {
-        m_nextLook = now;
+        m_nextRefreshAt = now;
     }
     known.dataCentre = tally.data_centre();
     known.draining = tally.draining();
-    grow(known, tally);
-    known.heard = now;
+    addGrowth(known, tally);
+    known.lastSeenAt = now;
 }
 
-void FleetAggregate::remember(Vm &vm, const v1::EntryTally &tally)
+void FleetAggregate::setCounts(Vm &vm, const v1::EntryTally &tally)
 {
     for (const v1::VersionCounts &counts : tally.versions()) {
         vm.counts[{counts.service(), counts.version()}] = counts;
     }
 }
 
-void FleetAggregate::grow(Vm &vm, const v1::EntryTally &tally)
+void FleetAggregate::addGrowth(Vm &vm, const v1::EntryTally &tally)
 {
     for (const v1::VersionCounts &counts : tally.versions()) {
         const VersionKey key{counts.service(), counts.version()};
         add(m_totals[key], growth(counts, vm.counts[key]));
     }
-    remember(vm, tally);
+    setCounts(vm, tally);
 }
 
-const v1::FleetTally &FleetAggregate::fleet(TimePoint now)
+const v1::FleetTally &FleetAggregate::fleetTally(TimePoint now)
 {
-    if (now >= m_nextLook) {
-        m_fleet = makeFleet(now);
-        m_nextLook = now + LookInterval;
+    if (now >= m_nextRefreshAt) {
+        m_fleetTally = buildFleetTally(now);
+        m_nextRefreshAt = now + RefreshInterval;
     }
-    return m_fleet;
+    return m_fleetTally;
 }
 
-v1::FleetTally FleetAggregate::makeFleet(TimePoint now) const
+v1::FleetTally FleetAggregate::buildFleetTally(TimePoint now) const
 {
     v1::FleetTally fleet;
     std::map<std::string, std::vector<VmName>> placing;
     std::uint32_t count = 0;
     for (const auto &[name, vm] : m_vms) {
-        if (now - vm.heard > HeardLately) {
+        if (now - vm.lastSeenAt > VmTimeout) {
             continue;
         }
         ++count;
@@ -101,7 +101,7 @@
     fleet.set_entry_vm_count(count);
     for (auto &[dataCentre, vms] : placing) {
         std::ranges::sort(vms, {}, placementOrder);
-        vms.resize(std::min(vms.size(), MostNamedOfDataCentre));
+        vms.resize(std::min(vms.size(), MaxPlacementVmsPerDataCentre));
         for (const VmName &vm : vms) {
             v1::PlacementVm &placement = *fleet.add_placement_vms();
             placement.set_vm(vm.value);
@@ -112,19 +112,19 @@
     return fleet;
 }
 
-std::map<std::string, v1::VersionCounts> FleetAggregate::versionsSince(const std::string &service, const std::string &mark)
+std::map<std::string, v1::VersionCounts> FleetAggregate::countsSinceStart(const std::string &service, const std::string &rolloutId)
 {
-    const bool isNew = !m_marks.contains(mark);
-    auto &base = m_marks[mark];
+    const bool isNew = !m_baselines.contains(rolloutId);
+    auto &baseline = m_baselines[rolloutId];
     std::map<std::string, v1::VersionCounts> grown;
     for (const auto &[key, total] : m_totals) {
         if (key.first != service) {
             continue;
         }
         if (isNew) {
-            base[key.second] = total;
+            baseline[key.second] = total;
         }
-        grown[key.second] = growth(total, base[key.second]);
+        grown[key.second] = growth(total, baseline[key.second]);
     }
     return grown;
 }
--- a/src/control/fleetaggregate.h
+++ b/src/control/fleetaggregate.h
@@ -10,21 +10,21 @@
 namespace cumindyke
 {
 
-/// The leader's sums over what entry VMs tell with their beats: which VMs there are, and the answers of each version. Soft state: a new leader has the same
-/// sums again after one beat of each VM.
+/// The leader's aggregate of the tallies that entry VMs send with their heartbeats: which VMs there are, and the answers of each version. Soft state:
+/// a new leader has the same aggregate after one heartbeat of each VM.
 class FleetAggregate
 {
 public:
-    /// The first of them are asked for places, the others in their stead. Leases that named all VMs would make the leader's bytes grow with the square of
-    /// the VMs.
-    static constexpr std::size_t MostNamedOfDataCentre = 8;
-
-    /// A VM's tally. An older process of the VM counts as gone.
-    void take(const VmName &vm, std::uint64_t incarnation, const v1::EntryTally &tally, TimePoint now);
-    /// The VMs heard of lately; one that fell silent may still count for LookInterval.
-    const v1::FleetTally &fleet(TimePoint now);
-    /// Growth of all VMs' counts of a service's versions since the rollout that is watched began here, by version.
-    std::map<std::string, v1::VersionCounts> versionsSince(const std::string &service, const std::string &mark);
+    /// VMs of a data centre that leases name as placement servers: the first ones get the placement requests, the others replace them on failure. If
+    /// leases named all VMs, the leader's traffic would grow with the square of the number of VMs.
+    static constexpr std::size_t MaxPlacementVmsPerDataCentre = 8;
+
+    /// Records the tally of a VM. A tally of another incarnation replaces the counts of the one before.
+    void recordTally(const VmName &vm, std::uint64_t incarnation, const v1::EntryTally &tally, TimePoint now);
+    /// Returns the VMs that sent a heartbeat within their timeout; a VM that has timed out may be included for RefreshInterval longer.
+    const v1::FleetTally &fleetTally(TimePoint now);
+    /// Returns by version how much all VMs' counts of a service have grown since the first call with this rollout id.
+    std::map<std::string, v1::VersionCounts> countsSinceStart(const std::string &service, const std::string &rolloutId);
     void reset()
     {
         *this = FleetAggregate();
@@ -37,25 +37,25 @@
         std::uint64_t incarnation = 0;
         std::string dataCentre;
         bool draining = false;
-        TimePoint heard;
+        TimePoint lastSeenAt;
         std::map<VersionKey, v1::VersionCounts> counts;
     };
 
-    /// How late a VM's silence may be noticed.
-    static constexpr Duration LookInterval = std::chrono::milliseconds(200);
+    /// Bound on how late the timeout of a VM is noticed.
+    static constexpr Duration RefreshInterval = std::chrono::milliseconds(200);
 
-    static void remember(Vm &vm, const v1::EntryTally &tally);
-    void grow(Vm &vm, const v1::EntryTally &tally);
-    v1::FleetTally makeFleet(TimePoint now) const;
+    static void setCounts(Vm &vm, const v1::EntryTally &tally);
+    void addGrowth(Vm &vm, const v1::EntryTally &tally);
+    v1::FleetTally buildFleetTally(TimePoint now) const;
 
     std::map<VmName, Vm> m_vms;
-    v1::FleetTally m_fleet;
-    /// When m_fleet is made again, at the latest.
-    TimePoint m_nextLook{};
-    /// What all VMs counted since this leader began, by service and version.
+    v1::FleetTally m_fleetTally;
+    /// Time at which m_fleetTally is rebuilt at the latest.
+    TimePoint m_nextRefreshAt{};
+    /// Sums of the counts of all VMs since this leader began, by service and version.
     std::map<VersionKey, v1::VersionCounts> m_totals;
-    /// The totals when each rollout was first looked at.
-    std::map<std::string, std::map<std::string, v1::VersionCounts>> m_marks;
+    /// The totals at the first evaluation of each rollout, by rollout id.
+    std::map<std::string, std::map<std::string, v1::VersionCounts>> m_baselines;
 };
 
 }
--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -28,67 +28,67 @@
     : m_options(std::move(options))
     , m_state(state)
     , m_distribution(m_options.lease, namesOf(m_options.vms))
-    , m_spreadLog(m_options.metrics)
+    , m_distributionLog(m_options.metrics)
 {
 }
 
-void Leadership::lead(TimePoint now)
+void Leadership::startLeading(TimePoint now)
 {
-    m_leads = true;
-    m_pushedVersion = m_state.version();
-    m_pushedRevision = m_state.declarations().revision();
-    m_pushedRoutes = m_state.routeHistory().newest().version();
-    m_tallies.reset();
-    m_distribution.lead(m_pushedVersion, now);
+    m_isLeading = true;
+    m_publishedVersion = m_state.version();
+    m_publishedRevision = m_state.declarations().revision();
+    m_publishedRoutesVersion = m_state.routeHistory().newest().version();
+    m_fleetAggregate.reset();
+    m_distribution.startLeading(m_publishedVersion, now);
 }
 
 void Leadership::stopLeading()
 {
-    m_leads = false;
-    m_repairs.clear();
-    // Their commands were accepted; whether they are in force everywhere, the next leader knows when the client asks it.
-    m_waits.clear();
-    m_confirmations.clear();
-    m_spreadLog.stop();
+    m_isLeading = false;
+    m_pendingRepairs.clear();
+    // The commands of these waits were accepted; the next leader finds out whether they are in force everywhere when the client asks again.
+    m_inForceWaits.clear();
+    m_confirmationWaits.clear();
+    m_distributionLog.reset();
 }
 
-void Leadership::applied(TimePoint now)
+void Leadership::publishIfChanged(TimePoint now)
 {
-    if (!m_leads || m_state.version() == m_pushedVersion) {
+    if (!m_isLeading || m_state.version() == m_publishedVersion) {
         return;
     }
     v1::Envelope envelope;
-    *envelope.mutable_config_update() = makeConfigUpdate(m_state, m_pushedRevision, m_pushedRoutes);
-    m_distribution.published(m_state.version(), now, envelope.ByteSizeLong());
-    const std::vector<std::string> reachable = spreadOrder(now);
-    const std::vector<Branch> tree = branches(reachable);
-    m_spreadLog.published({.version = m_state.version(),
-                           .routesVersion = m_state.routeHistory().newest().version(),
-                           .updateBytes = envelope.ByteSizeLong(),
-                           .vms = reachable.size()},
-                          now);
+    *envelope.mutable_config_update() = makeConfigUpdate(m_state, m_publishedRevision, m_publishedRoutesVersion);
+    m_distribution.recordPublication(m_state.version(), now, envelope.ByteSizeLong());
+    const std::vector<std::string> reachable = distributionOrder(now);
+    const std::vector<Branch> tree = splitFanOut(reachable);
+    m_distributionLog.recordPublication({.version = m_state.version(),
+                                         .routesVersion = m_state.routeHistory().newest().version(),
+                                         .updateBytes = envelope.ByteSizeLong(),
+                                         .vms = reachable.size()},
+                                        now);
     for (const Branch &branch : tree) {
         envelope.mutable_config_update()->mutable_relay()->Assign(branch.relay.begin(), branch.relay.end());
         m_options.send(branch.child, envelope);
     }
-    m_pushedVersion = m_state.version();
-    m_pushedRevision = m_state.declarations().revision();
-    m_pushedRoutes = m_state.routeHistory().newest().version();
+    m_publishedVersion = m_state.version();
+    m_publishedRevision = m_state.declarations().revision();
+    m_publishedRoutesVersion = m_state.routeHistory().newest().version();
 }
 
-void Leadership::heartbeat(const VmName &from, const v1::ConfigHeartbeat &heartbeat, TimePoint now)
+void Leadership::handleHeartbeat(const VmName &from, const v1::ConfigHeartbeat &heartbeat, TimePoint now)
 {
     v1::Envelope answer;
     if (heartbeat.has_tally()) {
-        m_tallies.take(from, heartbeat.incarnation(), heartbeat.tally(), now);
+        m_fleetAggregate.recordTally(from, heartbeat.incarnation(), heartbeat.tally(), now);
     }
-    if (std::optional<v1::ConfigLease> lease = m_distribution.heartbeat(heartbeat, m_options.hasQuorum(now), now)) {
+    if (std::optional<v1::ConfigLease> lease = m_distribution.handleHeartbeat(heartbeat, m_options.hasQuorum(now), now)) {
         *answer.mutable_config_lease() = std::move(*lease);
         answer.mutable_config_lease()->set_leader(m_options.vm.value);
         if (m_options.replicas) {
             *answer.mutable_config_lease()->mutable_replicas() = m_options.replicas();
         }
-        const v1::FleetTally &fleet = m_tallies.fleet(now);
+        const v1::FleetTally &fleet = m_fleetAggregate.fleetTally(now);
         if (heartbeat.has_tally() && heartbeat.fleet_digest() != fleet.digest()) {
             *answer.mutable_config_lease()->mutable_fleet() = fleet;
         }
@@ -97,40 +97,41 @@
         answer.mutable_config_lease()->set_beat(heartbeat.beat());
     }
     m_options.send(from, std::move(answer));
-    m_repairs.erase(from);
+    m_pendingRepairs.erase(from);
     if (m_distribution.needsRepair(from, now)) {
-        m_repairs[from] = {.needsWhole = heartbeat.whole(), .revision = heartbeat.revision(), .routesVersion = heartbeat.routes_version()};
+        m_pendingRepairs[from] = {.needsFullUpdate = heartbeat.whole(), .revision = heartbeat.revision(), .routesVersion = heartbeat.routes_version()};
     }
-    answerWaits(now);
-    confirmDue(now);
+    answerInForceWaits(now);
+    answerConfirmationWaits(now);
 }
 
-/// VMs that lack the same pass one update on to each other, so that the leader's work does not grow with the VMs that restarted together.
+/// VMs that need the same repair relay one update to each other, so that the leader's work does not grow with the number of VMs that restarted
+/// together.
 void Leadership::sendRepairs(TimePoint now)
 {
-    std::map<Holding, std::vector<std::string>> vmsOf;
-    for (const auto &[vm, holding] : std::exchange(m_repairs, {})) {
-        vmsOf[holding].push_back(vm.value);
+    std::map<HeldState, std::vector<std::string>> vmsByState;
+    for (const auto &[vm, heldState] : std::exchange(m_pendingRepairs, {})) {
+        vmsByState[heldState].push_back(vm.value);
     }
-    for (const auto &[holding, vms] : vmsOf) {
+    for (const auto &[heldState, vms] : vmsByState) {
         v1::Envelope repair;
         *repair.mutable_config_update()
-            = holding.needsWhole ? makeFullConfigUpdate(m_state) : makeConfigUpdate(m_state, Revision{holding.revision}, holding.routesVersion);
+            = heldState.needsFullUpdate ? makeFullConfigUpdate(m_state) : makeConfigUpdate(m_state, Revision{heldState.revision}, heldState.routesVersion);
         for (const std::string &vm : vms) {
-            m_distribution.repairSent(VmName{vm}, repair.ByteSizeLong(), now);
+            m_distribution.recordRepair(VmName{vm}, repair.ByteSizeLong(), now);
         }
-        for (const Branch &branch : branches(vms)) {
+        for (const Branch &branch : splitFanOut(vms)) {
             repair.mutable_config_update()->mutable_relay()->Assign(branch.relay.begin(), branch.relay.end());
-            m_spreadLog.repaired(repair.ByteSizeLong());
+            m_distributionLog.recordRepair(repair.ByteSizeLong());
             m_options.send(branch.child, repair);
         }
     }
 }
 
-/// The control replicas first: they pass on to the others, and their links are wide.
-std::vector<std::string> Leadership::spreadOrder(TimePoint now) const
+/// Orders the VMs for the fan-out tree: control replicas first, since the first VMs relay to the others and the replicas have more bandwidth.
+std::vector<std::string> Leadership::distributionOrder(TimePoint now) const
 {
-    std::vector<std::string> vms = m_distribution.reachable(now);
+    std::vector<std::string> vms = m_distribution.reachableVms(now);
     if (m_options.replicas) {
         const google::protobuf::RepeatedPtrField<std::string> replicas = m_options.replicas();
         const auto isReplica = [&replicas](const std::string &vm) { return std::ranges::find(replicas, vm) != replicas.end(); };
@@ -139,67 +140,67 @@
     return vms;
 }
 
-void Leadership::waitUntilInForce(WaitAnswer answer, TimePoint now)
+void Leadership::notifyWhenInForce(InForceCallback answer, TimePoint now)
 {
-    m_waits.push_back(Wait{.version = m_state.version(), .answer = std::move(answer)});
-    answerWaits(now);
+    m_inForceWaits.push_back(InForceWait{.version = m_state.version(), .answer = std::move(answer)});
+    answerInForceWaits(now);
 }
 
-void Leadership::waitUntilConfirmed(std::function<void()> answer, TimePoint now)
+void Leadership::notifyWhenConfirmed(std::function<void()> answer, TimePoint now)
 {
-    m_confirmations.push_back(Confirmation{.version = m_state.version(), .since = now, .answer = std::move(answer)});
-    confirmDue(now);
+    m_confirmationWaits.push_back(ConfirmationWait{.version = m_state.version(), .since = now, .answer = std::move(answer)});
+    answerConfirmationWaits(now);
 }
 
-void Leadership::confirmDue(TimePoint now)
+void Leadership::answerConfirmationWaits(TimePoint now)
 {
-    std::vector<Confirmation> open;
-    for (Confirmation &confirmation : std::exchange(m_confirmations, {})) {
-        if (!m_distribution.inForceWithin(confirmation.version, m_options.confirmWithin, now)) {
-            open.push_back(std::move(confirmation));
+    std::vector<ConfirmationWait> open;
+    for (ConfirmationWait &wait : std::exchange(m_confirmationWaits, {})) {
+        if (!m_distribution.isInForceWithin(wait.version, m_options.confirmWithin, now)) {
+            open.push_back(std::move(wait));
             continue;
         }
-        m_distribution.confirmed(confirmation.version);
-        m_spreadLog.confirmed(confirmation.version, now - confirmation.since);
-        confirmation.answer();
+        m_distribution.recordConfirmation(wait.version);
+        m_distributionLog.recordConfirmation(wait.version, now - wait.since);
+        wait.answer();
     }
-    m_confirmations.insert(m_confirmations.end(), std::make_move_iterator(open.begin()), std::make_move_iterator(open.end()));
+    m_confirmationWaits.insert(m_confirmationWaits.end(), std::make_move_iterator(open.begin()), std::make_move_iterator(open.end()));
 }
 
-void Leadership::answerWaits(TimePoint now)
+void Leadership::answerInForceWaits(TimePoint now)
 {
-    std::vector<Wait> open;
-    std::vector<Wait> waits;
-    waits.swap(m_waits);
-    for (Wait &wait : waits) {
-        const Distribution::Spread spread = m_distribution.spread(wait.version, now);
-        if (spread.pending.empty()) {
-            wait.answer(spread.lapsed);
+    std::vector<InForceWait> open;
+    std::vector<InForceWait> waits;
+    waits.swap(m_inForceWaits);
+    for (InForceWait &wait : waits) {
+        const Distribution::Progress progress = m_distribution.progress(wait.version, now);
+        if (progress.pending.empty()) {
+            wait.answer(progress.lapsed);
         } else {
             open.push_back(std::move(wait));
         }
     }
-    m_waits.insert(m_waits.end(), std::make_move_iterator(open.begin()), std::make_move_iterator(open.end()));
+    m_inForceWaits.insert(m_inForceWaits.end(), std::make_move_iterator(open.begin()), std::make_move_iterator(open.end()));
 }
 
-void Leadership::logSpread(TimePoint now)
+void Leadership::logProgress(TimePoint now)
 {
-    if (!m_spreadLog.hasNews()) {
+    if (!m_distributionLog.hasUnloggedEvents()) {
         return;
     }
-    const Distribution::Spread spread = m_distribution.spread(m_spreadLog.spreading().value_or(0), now);
-    m_spreadLog.look(spread.pending.size(), spread.lapsed.size(), now);
+    const Distribution::Progress progress = m_distribution.progress(m_distributionLog.distributingVersion().value_or(0), now);
+    m_distributionLog.recordProgress(progress.pending.size(), progress.lapsed.size(), now);
 }
 
 std::vector<v1::CellAssignment> Leadership::tick(TimePoint now)
 {
-    if (!m_leads) {
+    if (!m_isLeading) {
         return {};
     }
     sendRepairs(now);
-    answerWaits(now);
-    confirmDue(now);
-    logSpread(now);
+    answerInForceWaits(now);
+    answerConfirmationWaits(now);
+    logProgress(now);
     return m_options.hasQuorum(now) ? nextCellAssignments(m_state, m_distribution, now) : std::vector<v1::CellAssignment>();
 }
 
--- a/src/control/leadership.h
+++ b/src/control/leadership.h
@@ -17,94 +17,95 @@
 struct LeadershipOptions
 {
     VmName vm;
-    /// Every VM of the settings, this one too.
+    /// All VMs of the settings, including this one.
     std::map<VmName, Address> vms;
     LeaseOptions lease;
-    /// A confirmed version is in force everywhere this long after the confirmation.
+    /// A confirmed version is in force on every VM this long after the confirmation.
     Duration confirmWithin = std::chrono::seconds(2);
     std::function<void(const VmName &to, v1::Envelope envelope)> send;
-    /// Whether this VM can prove at this time that no other leader has been elected.
+    /// Returns whether this VM can prove now that no other leader has been elected.
     std::function<bool(TimePoint now)> hasQuorum;
-    /// The voting replicas of the log; may be left out.
+    /// Returns the voting replicas of the log; optional.
     std::function<google::protobuf::RepeatedPtrField<std::string>()> replicas = {};
     std::optional<DistributionMetrics> metrics = {};
 };
 
-/// What the leader does besides the log: it brings each accepted version to every VM, grants configuration leases, and assigns cells.
-/// Lives as long as the task; begins anew with each lead().
+/// The duties of the leader besides the log: distributes each accepted version to every VM, grants configuration leases and assigns cells. Lives as
+/// long as the control task; startLeading() resets the state.
 class Leadership
 {
 public:
-    using WaitAnswer = std::function<void(const std::vector<std::string> &lapsedVms)>;
+    using InForceCallback = std::function<void(const std::vector<std::string> &lapsedVms)>;
 
     Leadership(LeadershipOptions options, const StateMachine &state);
 
-    void lead(TimePoint now);
+    void startLeading(TimePoint now);
     void stopLeading();
-    bool leads() const
+    bool isLeading() const
     {
-        return m_leads;
+        return m_isLeading;
     }
 
-    /// Call after every applied command: pushes the version when it is new.
-    void applied(TimePoint now);
-    /// A VM's beat: answers with a lease, a repair, or both.
-    void heartbeat(const VmName &from, const v1::ConfigHeartbeat &heartbeat, TimePoint now);
-    /// Answers when every VM has the present version in force or has certainly stopped admitting work.
-    void waitUntilInForce(WaitAnswer answer, TimePoint now);
-    /// Answers as soon as it is certain that every VM will have the present version in force, or have stopped admitting work, in time.
-    void waitUntilConfirmed(std::function<void()> answer, TimePoint now);
-    /// Answers waits, and returns the cell assignments to propose.
+    /// Distributes the newest version if it was not distributed yet. To be called after each batch of applied commands.
+    void publishIfChanged(TimePoint now);
+    /// Handles a heartbeat: replies with a lease or a refusal, and schedules a repair if the VM needs one.
+    void handleHeartbeat(const VmName &from, const v1::ConfigHeartbeat &heartbeat, TimePoint now);
+    /// Calls back when every VM has the current version in force or has certainly stopped admitting work.
+    void notifyWhenInForce(InForceCallback answer, TimePoint now);
+    /// Calls back as soon as it is certain that within confirmWithin every VM will have the current version in force or will have stopped admitting
+    /// work.
+    void notifyWhenConfirmed(std::function<void()> answer, TimePoint now);
+    /// Sends repairs, calls back for waits that are over, and returns the cell assignments to propose.
     std::vector<v1::CellAssignment> tick(TimePoint now);
     v1::MembersReply members(TimePoint now) const;
-    /// What entry VMs count, for decisions on rollouts.
-    FleetAggregate &tallies()
+    /// The counts of the entry VMs, for decisions on rollouts.
+    FleetAggregate &fleetAggregate()
     {
-        return m_tallies;
+        return m_fleetAggregate;
     }
 
 private:
-    struct Wait
+    struct InForceWait
     {
         std::uint64_t version;
-        WaitAnswer answer;
+        InForceCallback answer;
     };
-    struct Confirmation
+    struct ConfirmationWait
     {
         std::uint64_t version;
         TimePoint since;
         std::function<void()> answer;
     };
 
-    /// What a VM holds: VMs that hold the same lack the same.
-    struct Holding
+    /// The configuration that a VM has; VMs with equal states need the same repair.
+    struct HeldState
     {
-        bool needsWhole = false;
+        bool needsFullUpdate = false;
         std::uint64_t revision = 0;
         std::uint64_t routesVersion = 0;
 
-        auto operator<=>(const Holding &) const = default;
+        auto operator<=>(const HeldState &) const = default;
     };
 
     void sendRepairs(TimePoint now);
-    void answerWaits(TimePoint now);
-    void confirmDue(TimePoint now);
-    std::vector<std::string> spreadOrder(TimePoint now) const;
-    void logSpread(TimePoint now);
+    void answerInForceWaits(TimePoint now);
+    void answerConfirmationWaits(TimePoint now);
+    std::vector<std::string> distributionOrder(TimePoint now) const;
+    void logProgress(TimePoint now);
 
     const LeadershipOptions m_options;
     const StateMachine &m_state;
     Distribution m_distribution;
-    FleetAggregate m_tallies;
-    bool m_leads = false;
-    std::uint64_t m_pushedVersion = 0;
-    std::uint64_t m_pushedRoutes = 0;
-    Revision m_pushedRevision;
-    /// VMs to be repaired at the next tick.
-    std::map<VmName, Holding> m_repairs;
-    std::vector<Wait> m_waits;
-    std::vector<Confirmation> m_confirmations;
-    DistributionLog m_spreadLog;
+    FleetAggregate m_fleetAggregate;
+    bool m_isLeading = false;
+    std::uint64_t m_publishedVersion = 0;
+    std::uint64_t m_publishedRoutesVersion = 0;
+    Revision m_publishedRevision;
+    /// VMs that get a repair at the next tick.
+    std::map<VmName, HeldState> m_pendingRepairs;
+    std::vector<InForceWait> m_inForceWaits;
+    std::vector<ConfirmationWait> m_confirmationWaits;
+    DistributionLog m_distributionLog;
 };
 
 }
--- a/src/control/rolloutleader.cpp
+++ b/src/control/rolloutleader.cpp
@@ -93,15 +93,15 @@
     return answers >= LeastAnswers ? VersionHealth::Sound : VersionHealth::Unproved;
 }
 
-std::vector<v1::RolloutVerdict> decideRollouts(const RolloutMap &rollouts, FleetAggregate &tallies, WallTime now)
+std::vector<v1::RolloutVerdict> decideRollouts(const RolloutMap &rollouts, FleetAggregate &aggregate, WallTime now)
 {
     std::vector<v1::RolloutVerdict> verdicts;
     for (const auto &[service, rollout] : rollouts) {
         if (rollout.state() != v1::ROLLOUT_IN_PROGRESS) {
             continue;
         }
-        const std::string mark = service + "/" + rollout.target() + "/" + std::to_string(rollout.started_at_ms());
-        const std::map<std::string, v1::VersionCounts> versions = tallies.versionsSince(service, mark);
+        const std::string rolloutId = service + "/" + rollout.target() + "/" + std::to_string(rollout.started_at_ms());
+        const std::map<std::string, v1::VersionCounts> versions = aggregate.countsSinceStart(service, rolloutId);
         const auto found = versions.find(rollout.target());
         const v1::VersionCounts target = found == versions.end() ? v1::VersionCounts() : found->second;
         const v1::VersionCounts others = sumOfOthers(versions, rollout.target());
--- a/src/control/rolloutleader.h
+++ b/src/control/rolloutleader.h
@@ -26,6 +26,6 @@
 ///
 /// The target gets one small share, then a larger one near the end of the time, then all. It is rolled back as soon as its answers look
 /// worse than the others', and at the time limit when too few answers say anything.
-std::vector<v1::RolloutVerdict> decideRollouts(const RolloutMap &rollouts, FleetAggregate &tallies, WallTime now);
+std::vector<v1::RolloutVerdict> decideRollouts(const RolloutMap &rollouts, FleetAggregate &aggregate, WallTime now);
 
 }
--- a/tests/control/distributionrig.cpp
+++ b/tests/control/distributionrig.cpp
@@ -13,7 +13,7 @@
 constexpr Duration HeartbeatInterval = std::chrono::milliseconds(500);
 constexpr Duration TickInterval = std::chrono::milliseconds(50);
 
-Duration timeFor(std::size_t bytes, double bytesPerSecond)
+Duration transmissionTime(std::size_t bytes, double bytesPerSecond)
 {
     return Duration(static_cast<Duration::rep>(static_cast<double>(bytes) * 1e6 / bytesPerSecond));
 }
@@ -57,7 +57,7 @@
 {
     for (int i = 0; i < size(); ++i) {
         vm(i).bytesSent = 0;
-        vm(i).peers.clear();
+        vm(i).updatePeers.clear();
         if (i == m_leader) {
             continue;
         }
@@ -87,12 +87,12 @@
                                                     .hasQuorum = [](TimePoint) { return true; },
                                                 },
                                                 m_state);
-    m_leadership->lead(m_now);
+    m_leadership->startLeading(m_now);
 }
 
-void DistributionRig::silence(int number)
+void DistributionRig::makeUnreachable(int number)
 {
-    vm(number).silent = true;
+    vm(number).unreachable = true;
 }
 
 void DistributionRig::publish(const v1::RouteTable &table)
@@ -102,14 +102,14 @@
     *command.mutable_publish_routes() = packPublication(table, {});
     REQUIRE(m_state.apply(command).reply().outcome() == v1::CommandReply::ACCEPTED);
     m_publishedAt = m_now;
-    m_published = table.version();
+    m_publishedVersion = table.version();
     for (Vm &vm : m_vms) {
         vm.bytesSent = 0;
-        vm.peers.clear();
-        vm.peakHeld = vm.budget->held();
+        vm.updatePeers.clear();
+        vm.peakBufferedBytes = vm.budget->held();
         vm.inForceAfter = Duration::max();
     }
-    m_leadership->applied(m_now);
+    m_leadership->publishIfChanged(m_now);
 }
 
 std::uint64_t DistributionRig::routesOn(int vm) const
@@ -122,7 +122,7 @@
 {
     std::vector<Duration> times;
     for (const Vm &vm : m_vms) {
-        if (!vm.silent) {
+        if (!vm.unreachable) {
             times.push_back(std::min(vm.inForceAfter, m_now - m_publishedAt));
         }
     }
@@ -130,18 +130,18 @@
     return times;
 }
 
-std::size_t DistributionRig::mostBytesFromEntryVm() const
+std::size_t DistributionRig::maxBytesFromEntryVm() const
 {
-    std::size_t most = 0;
+    std::size_t maxBytes = 0;
     for (std::size_t i = static_cast<std::size_t>(m_options.coreVms); i < m_vms.size(); ++i) {
-        most = std::max(most, m_vms[i].bytesSent);
+        maxBytes = std::max(maxBytes, m_vms[i].bytesSent);
     }
-    return most;
+    return maxBytes;
 }
 
-void DistributionRig::at(TimePoint time, std::function<void()> happen)
+void DistributionRig::at(TimePoint time, std::function<void()> action)
 {
-    m_events.push(Event{.at = time, .number = ++m_eventCount, .happen = std::move(happen)});
+    m_events.push(Event{.at = time, .number = ++m_eventCount, .action = std::move(action)});
 }
 
 void DistributionRig::send(int from, const VmName &to, v1::Envelope envelope)
@@ -153,10 +153,10 @@
     }
     Vm &sender = vm(from);
     if (envelope.has_config_update()) {
-        sender.peers.insert(target);
+        sender.updatePeers.insert(target);
     }
     sender.queues.try_emplace(target, sender.budget).first->second.push(std::move(envelope));
-    sender.peakHeld = std::max(sender.peakHeld, sender.budget->held());
+    sender.peakBufferedBytes = std::max(sender.peakBufferedBytes, sender.budget->held());
     startCalls(from, target);
 }
 
@@ -173,13 +173,13 @@
     Vm &receiver = vm(to);
     const std::size_t bytes = batch.bytes;
     sender.bytesSent += bytes;
-    sender.uplinkFree = std::max(m_now, sender.uplinkFree) + timeFor(bytes, sender.bytesPerSecond);
-    const TimePoint arrival = std::max(sender.uplinkFree + m_options.oneWay, receiver.downlinkFree) + timeFor(bytes, receiver.bytesPerSecond);
-    const bool arrives = !sender.silent && !receiver.silent && arrival - m_now <= batch.timeout;
-    if (!receiver.silent) {
-        receiver.downlinkFree = arrival;
+    sender.uplinkFreeAt = std::max(m_now, sender.uplinkFreeAt) + transmissionTime(bytes, sender.bytesPerSecond);
+    const TimePoint arrival = std::max(sender.uplinkFreeAt + m_options.oneWayDelay, receiver.downlinkFreeAt) + transmissionTime(bytes, receiver.bytesPerSecond);
+    const bool arrives = !sender.unreachable && !receiver.unreachable && arrival - m_now <= batch.timeout;
+    if (!receiver.unreachable) {
+        receiver.downlinkFreeAt = arrival;
     }
-    const TimePoint end = arrives ? arrival + m_options.oneWay : m_now + batch.timeout;
+    const TimePoint end = arrives ? arrival + m_options.oneWayDelay : m_now + batch.timeout;
     if (arrives) {
         at(arrival, [this, from, to, envelopes = std::move(batch.envelopes)] {
             for (const v1::Envelope &envelope : envelopes) {
@@ -196,38 +196,38 @@
 void DistributionRig::deliver(int from, int to, const v1::Envelope &envelope)
 {
     if (envelope.has_config_heartbeat() && to == m_leader) {
-        m_leadership->heartbeat(nameOf(from), envelope.config_heartbeat(), m_now);
+        m_leadership->handleHeartbeat(nameOf(from), envelope.config_heartbeat(), m_now);
     } else if (envelope.has_config_lease()) {
         vm(to).follower->handleLease(envelope.config_lease());
     } else if (envelope.has_config_update()) {
-        takeUpdate(to, envelope.config_update());
+        handleUpdate(to, envelope.config_update());
     }
 }
 
-void DistributionRig::takeUpdate(int number, const v1::ConfigUpdate &update)
+void DistributionRig::handleUpdate(int number, const v1::ConfigUpdate &update)
 {
     v1::Envelope relayed;
     *relayed.mutable_config_update() = update;
-    for (const Branch &branch : branches({update.relay().begin(), update.relay().end()})) {
+    for (const Branch &branch : splitFanOut({update.relay().begin(), update.relay().end()})) {
         relayed.mutable_config_update()->mutable_relay()->Assign(branch.relay.begin(), branch.relay.end());
         send(number, branch.child, relayed);
     }
-    Vm &held = vm(number);
-    if (held.follower->applyUpdate(update) == Follower::UpdateResult::Outdated) {
+    Vm &record = vm(number);
+    if (record.follower->applyUpdate(update) == Follower::UpdateResult::Outdated) {
         return;
     }
-    if (routesOn(number) >= m_published && held.inForceAfter == Duration::max()) {
-        held.inForceAfter = m_now - m_publishedAt;
+    if (routesOn(number) >= m_publishedVersion && record.inForceAfter == Duration::max()) {
+        record.inForceAfter = m_now - m_publishedAt;
     }
     sendHeartbeat(number);
 }
 
 void DistributionRig::sendHeartbeat(int number)
 {
-    Vm &held = vm(number);
-    held.nextHeartbeatAt = m_now + HeartbeatInterval;
+    Vm &record = vm(number);
+    record.nextHeartbeatAt = m_now + HeartbeatInterval;
     v1::Envelope envelope;
-    *envelope.mutable_config_heartbeat() = held.follower->makeHeartbeat(m_now);
+    *envelope.mutable_config_heartbeat() = record.follower->makeHeartbeat(m_now);
     send(number, nameOf(m_leader), std::move(envelope));
 }
 
@@ -247,7 +247,7 @@
             const Event event = m_events.top();
             m_events.pop();
             m_now = std::max(m_now, event.at);
-            event.happen();
+            event.action();
         }
         m_now = tick;
     }
--- a/tests/control/distributionrig.h
+++ b/tests/control/distributionrig.h
@@ -11,8 +11,8 @@
 #include <random>
 #include <set>
 
-/// How configurations reach many VMs over narrow links, in virtual time: the real leader's part, followers and send queues; links
-/// that carry so many bytes a second and calls that are given up at their deadline. The log itself is taken as given.
+/// Simulates in virtual time how configurations reach many VMs over narrow links: the real leadership, followers and send queues; links with a
+/// limited bandwidth, and calls that fail at their deadline. The log itself is not simulated.
 namespace cumindyke::test
 {
 
@@ -23,9 +23,9 @@
     int entryVms = 78;
     /// 10 Mbit/s.
     double entryBytesPerSecond = 1'250'000;
-    /// Less than the link of a core VM: what 0.15 of a core puts into messages.
+    /// Less than the link of a core VM: what 0.15 of a core can send as messages.
     double coreBytesPerSecond = 10'000'000;
-    Duration oneWay = std::chrono::milliseconds(1);
+    Duration oneWayDelay = std::chrono::milliseconds(1);
     std::uint64_t seed = 1;
 };
 
@@ -35,13 +35,13 @@
     explicit DistributionRig(DistributionRigOptions options);
 
     void run(Duration time);
-    /// Nothing reaches the VM or comes from it from now on, and nobody is told.
-    void silence(int vm);
-    /// New processes of all VMs but the leader, with nothing: their first beats go out within the time.
+    /// Drops everything from and to the VM from now on, without an error for the senders.
+    void makeUnreachable(int vm);
+    /// Restarts all VMs but the leader with empty state; their first heartbeats are sent within the given time.
     void restartFollowers(Duration within);
-    /// The VM leads from now on; the one before does not.
+    /// Makes the VM the leader instead of the one before.
     void elect(int vm);
-    /// A newer table is in the log, and applied by the leader.
+    /// Applies a newer table at the leader, as after its commit to the log.
     void publish(const v1::RouteTable &table);
     /// Until when the VM may admit work.
     TimePoint admitUntil(int vm) const
@@ -66,27 +66,28 @@
         return m_now;
     }
 
-    /// From the publication until each VM that is not silent had the table in force, sorted; the end of the run for one that has not.
+    /// Returns for each VM that is not unreachable the time from the publication until the table was in force, sorted; the time until now if it is
+    /// not.
     std::vector<Duration> timesInForce() const;
-    /// Sent by the leader, and by the entry VM that sent most, since the last publication.
+    /// Bytes sent since the last publication by the leader, and by the entry VM that sent most.
     std::size_t bytesFromLeader() const
     {
         return m_vms.front().bytesSent;
     }
-    std::size_t mostBytesFromEntryVm() const;
-    /// VMs that the leader had calls to since the last restart of the followers or publication.
-    std::size_t peersOfLeader() const
+    std::size_t maxBytesFromEntryVm() const;
+    /// VMs to which the leader sent updates since the last restart of the followers or publication.
+    std::size_t updatePeersOfLeader() const
     {
-        return m_vms.front().peers.size();
+        return m_vms.front().updatePeers.size();
     }
-    /// The most that the leader's messages took at a time since the last publication: those that wait and those under way.
-    std::size_t peakHeldByLeader() const
+    /// Largest size of the leader's messages at a time since the last publication, queued and in flight.
+    std::size_t peakBufferedByLeader() const
     {
-        return peakHeldBy(0);
+        return peakBufferedBy(0);
     }
-    std::size_t peakHeldBy(int vm) const
+    std::size_t peakBufferedBy(int vm) const
     {
-        return m_vms.at(static_cast<std::size_t>(vm)).peakHeld;
+        return m_vms.at(static_cast<std::size_t>(vm)).peakBufferedBytes;
     }
 
 private:
@@ -97,20 +98,20 @@
         std::map<int, OutgoingQueue> queues;
         double bytesPerSecond = 0;
         TimePoint nextHeartbeatAt{};
-        TimePoint uplinkFree{};
-        TimePoint downlinkFree{};
-        bool silent = false;
+        TimePoint uplinkFreeAt{};
+        TimePoint downlinkFreeAt{};
+        bool unreachable = false;
         std::size_t bytesSent = 0;
-        /// Reached with updates.
-        std::set<int> peers;
-        std::size_t peakHeld = 0;
+        /// VMs to which it sent updates.
+        std::set<int> updatePeers;
+        std::size_t peakBufferedBytes = 0;
         Duration inForceAfter = Duration::max();
     };
     struct Event
     {
         TimePoint at;
         std::uint64_t number;
-        std::function<void()> happen;
+        std::function<void()> action;
 
         bool operator<(const Event &other) const
         {
@@ -125,19 +126,19 @@
     static VmName nameOf(int vm);
     static int numberOf(const VmName &name);
     std::unique_ptr<Follower> newFollower(int number);
-    void at(TimePoint time, std::function<void()> happen);
+    void at(TimePoint time, std::function<void()> action);
     void send(int from, const VmName &to, v1::Envelope envelope);
     void startCalls(int from, int to);
     void startCall(int from, int to, OutgoingBatch batch);
     void deliver(int from, int to, const v1::Envelope &envelope);
     void sendHeartbeat(int vm);
-    void takeUpdate(int vm, const v1::ConfigUpdate &update);
+    void handleUpdate(int vm, const v1::ConfigUpdate &update);
 
     DistributionRigOptions m_options;
     std::mt19937_64 m_random;
     TimePoint m_now{std::chrono::hours(1)};
     TimePoint m_publishedAt{};
-    std::uint64_t m_published = 0;
+    std::uint64_t m_publishedVersion = 0;
     StateMachine m_state;
     std::vector<Vm> m_vms;
     int m_leader = 0;
@@ -146,7 +147,7 @@
     std::uint64_t m_eventCount = 0;
 };
 
-/// A table with a service and so many routes, with names of the length that operators' tools make.
+/// Returns a table with one service and the given number of routes, with names as long as those of operators' tools.
 v1::RouteTable routeTable(std::uint64_t version, int routes);
 
 }
--- a/tests/control/leaseshistorytest.cpp
+++ b/tests/control/leaseshistorytest.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-/// One random fault, or an end of the faults.
-void disturb(VirtualCluster &cluster, int vms)
+/// Injects one random fault, or ends all faults.
+void injectFault(VirtualCluster &cluster, int vms)
 {
     const int vm = static_cast<int>(cluster.random(static_cast<std::uint64_t>(vms)));
     switch (cluster.random(8)) {
@@ -41,11 +41,10 @@
 
 }
 
-// Operators change declarations while VMs are cut off (both ways or one way), crash, restart and leaders change, and messages are
-// lost, repeated and late. A caller must never be served under a configuration older than the bound, nor under one that is older than
-// what the same VM served under before, and a cell never has two schedulers. Virtual cluster's check() holds this at every step; here
-// the VMs must also all come back by themselves once the faults are over.
-TEST_CASE("in random histories no VM admits work under an old configuration, or goes back")
+// Operators change declarations while VMs are cut off in one or both directions, crash and restart, leaders change, and messages are lost, duplicated
+// and delayed. No VM may admit work under a configuration older than the bound or older than one under which it admitted work before, and no cell may
+// have two schedulers: VirtualCluster checks this at every step. After the faults all VMs must admit work again.
+TEST_CASE("in random histories no VM admits work under an outdated configuration or returns to an older one")
 {
     constexpr int Seeds = 100;
     constexpr int Vms = 7;
@@ -58,7 +57,7 @@
                 cluster.accept(organisationChange(static_cast<int>(cluster.random(30))));
             }
             if (cluster.random(80) == 0) {
-                disturb(cluster, Vms);
+                injectFault(cluster, Vms);
             }
             cluster.step();
         }
@@ -75,15 +74,15 @@
         CHECK(cluster.holderOf("drafting/dc-1") >= 0);
         admitted += cluster.admittedSteps();
     }
-    // Of 100 x 3,800 steps on 7 VMs. Far fewer would mean that the histories hardly test a VM that admits work.
+    // Out of 100 x 3,800 steps on 7 VMs. A much lower count would mean that the histories hardly test VMs that admit work.
     CHECK(admitted > 800'000);
 }
 
-// The caller of a VM that is silently cut off hears "not run" once its lease is over: within two seconds by the VM's own clock. After
-// the cut it serves again by itself, with all that was accepted meanwhile: here more changes than are sent one by one.
-TEST_CASE("a VM that was cut off for long stops admitting, and comes back with the newest configuration")
+// A VM that is cut off must refuse requests with "not run" once its lease has ended, within two seconds by its own clock. Afterwards it must admit
+// work again with all changes accepted meanwhile, here more than are sent one by one.
+TEST_CASE("a VM that is cut off stops admitting work, and admits it again with the newest configuration")
 {
-    VirtualCluster cluster({.vms = 4, .seed = 7, .lossPermille = 0, .repeatPermille = 0, .latePermille = 0});
+    VirtualCluster cluster({.vms = 4, .seed = 7, .lossPermille = 0, .duplicatePermille = 0, .delayedPermille = 0});
     cluster.accept(smallOffice());
     cluster.run(std::chrono::seconds(3));
     REQUIRE(cluster.admits(3));
@@ -101,11 +100,10 @@
     CHECK(cluster.follower(3).declarations()->organisations().size() == 600);
 }
 
-// The leader itself is cut off from the others: its own callers hear "not run" as on any VM, because it grants itself nothing without
-// proof of a quorum. Here the proof fails and a new leader accepts a change that the old one never hears of.
-TEST_CASE("a leader that lost its quorum stops admitting work too")
+// A leader that is cut off grants itself no lease without proof of a quorum. The new leader accepts a change that the old one never gets.
+TEST_CASE("a leader without a quorum stops admitting work")
 {
-    VirtualCluster cluster({.vms = 4, .seed = 8, .lossPermille = 0, .repeatPermille = 0, .latePermille = 0});
+    VirtualCluster cluster({.vms = 4, .seed = 8, .lossPermille = 0, .duplicatePermille = 0, .delayedPermille = 0});
     cluster.accept(smallOffice());
     cluster.run(std::chrono::seconds(3));
     REQUIRE(cluster.admits(0));
@@ -117,11 +115,11 @@
     CHECK(cluster.admits(1));
 }
 
-// The scheduler of a cell crashes: callers of the cell wait until another VM holds it. That VM must be sure that the first, which may
-// only be cut off, has stopped: its lease, with the clock-rate margin, is waited out, and no longer than three seconds in all.
-TEST_CASE("a cell whose scheduler crashed has another within three seconds")
+// After a crash of a cell's scheduler another VM gets the cell once the first one has certainly stopped, since it may only be cut off: after its
+// lease with the margin for clock rates, and no later than three seconds.
+TEST_CASE("a cell gets another scheduler within three seconds after a crash")
 {
-    VirtualCluster cluster({.vms = 6, .seed = 9, .lossPermille = 0, .repeatPermille = 0, .latePermille = 0});
+    VirtualCluster cluster({.vms = 6, .seed = 9, .lossPermille = 0, .duplicatePermille = 0, .delayedPermille = 0});
     cluster.accept(smallOffice());
     cluster.run(std::chrono::seconds(5));
     const int first = cluster.holderOf("drafting/dc-1");
@@ -134,10 +132,11 @@
     CHECK(cluster.state().cells().at("drafting/dc-1").epoch() > epoch);
 }
 
-// A VM is shut down gracefully: its cells go to another VM at once, not after a lease, and never to two at a time (check()).
-TEST_CASE("a draining VM hands its cells over without waiting for its lease to end")
+// The cells of a VM that shuts down gracefully move to another VM without waiting for the lease to end, and never have two schedulers
+// (checkInvariants()).
+TEST_CASE("the cells of a draining VM move before its lease ends")
 {
-    VirtualCluster cluster({.vms = 6, .seed = 10, .lossPermille = 0, .repeatPermille = 0, .latePermille = 0});
+    VirtualCluster cluster({.vms = 6, .seed = 10, .lossPermille = 0, .duplicatePermille = 0, .delayedPermille = 0});
     cluster.accept(smallOffice());
     cluster.run(std::chrono::seconds(5));
     const int first = cluster.holderOf("drafting/dc-0");
@@ -148,11 +147,11 @@
     CHECK(cluster.holderOf("drafting/dc-0") != first);
 }
 
-// A draining VM's beats arrive, but nothing reaches it any more. It does not hear that it lost its cells and goes on scheduling them
-// until its lease ends; meanwhile nobody else may (check()), and afterwards somebody must.
-TEST_CASE("the cells of a draining VM that hears nothing wait for the end of its lease")
+// A draining VM whose heartbeats arrive but that receives nothing schedules its cells until its lease ends. No other VM may schedule them before
+// (checkInvariants()), and one must afterwards.
+TEST_CASE("the cells of a draining VM that receives nothing move after its lease ends")
 {
-    VirtualCluster cluster({.vms = 6, .seed = 12, .lossPermille = 0, .repeatPermille = 0, .latePermille = 0});
+    VirtualCluster cluster({.vms = 6, .seed = 12, .lossPermille = 0, .duplicatePermille = 0, .delayedPermille = 0});
     cluster.accept(smallOffice());
     cluster.run(std::chrono::seconds(5));
     cluster.elect(5);
@@ -169,11 +168,11 @@
     CHECK(cluster.holderOf("drafting/dc-0") != first);
 }
 
-// A VM takes up a change, serves under it, and its process restarts at once. The new process has only what the leader sends it: were it
-// given a lease under what every VM must have by now, callers would see the change vanish again. It must have the newest first.
-TEST_CASE("a restarted VM never admits work under an older configuration than before")
+// A VM that restarts right after it applied a change must get the newest version before a lease. With only the version that every VM must have by
+// now, callers would see the change undone.
+TEST_CASE("a restarted VM never admits work under an older configuration than before its restart")
 {
-    VirtualCluster cluster({.vms = 3, .seed = 13, .lossPermille = 0, .repeatPermille = 0, .latePermille = 500});
+    VirtualCluster cluster({.vms = 3, .seed = 13, .lossPermille = 0, .duplicatePermille = 0, .delayedPermille = 500});
     cluster.accept(smallOffice());
     cluster.run(std::chrono::seconds(10));
     for (int i = 0; i < 400; ++i) {
@@ -187,11 +186,11 @@
     CHECK(cluster.admits(2));
 }
 
-// A process restarts within the lease of the one before it. It does not know what that one granted, so it must not schedule the
-// cell under the same epoch: it gets the cell anew.
-TEST_CASE("a restarted holder schedules its cell under a new epoch only")
+// A process that restarts within the lease of the one before it does not know what that one granted, so it may schedule the cell only under a new
+// epoch.
+TEST_CASE("a restarted holder schedules its cell only under a new epoch")
 {
-    VirtualCluster cluster({.vms = 3, .seed = 11, .lossPermille = 0, .repeatPermille = 0, .latePermille = 0});
+    VirtualCluster cluster({.vms = 3, .seed = 11, .lossPermille = 0, .duplicatePermille = 0, .delayedPermille = 0});
     cluster.accept(smallOffice());
     cluster.run(std::chrono::seconds(5));
     const int first = cluster.holderOf("drafting/dc-0");
@@ -206,9 +205,9 @@
     CHECK(cluster.holderOf("drafting/dc-0") >= 0);
 }
 
-// Guards against a configuration that is confirmed while a VM may go on under an older one for longer than was promised: cut off, restarted, late, or
-// with a lease of a leader that the one that confirms knows nothing of.
-TEST_CASE("in random histories no VM admits work under an older configuration than one that was confirmed in time before")
+// Guards against a configuration that is confirmed while a VM may admit work under an older one for longer than the bound: cut off, restarted,
+// delayed, or with a lease of an earlier leader.
+TEST_CASE("in random histories no VM admits work under an older configuration than one whose confirmation is due")
 {
     constexpr int Seeds = 60;
     constexpr int Vms = 7;
@@ -221,12 +220,13 @@
                 cluster.accept(organisationChange(static_cast<int>(cluster.random(30))));
             }
             if (cluster.random(80) == 0) {
-                disturb(cluster, Vms);
+                injectFault(cluster, Vms);
             }
             cluster.step();
         }
         confirmations += cluster.confirmations();
     }
-    // Of about 75 changes and some cell assignments a seed, many are overtaken by an election. Far fewer would mean that hardly anything was checked.
+    // Out of about 75 changes and some cell assignments a seed; elections interrupt many. A much lower count would mean that hardly anything was
+    // checked.
     CHECK(confirmations > 1'000);
 }
--- a/tests/control/orderstest.cpp
+++ b/tests/control/orderstest.cpp
@@ -104,9 +104,9 @@
     {
         return m_random() % 1000 < static_cast<std::uint64_t>(lossPermille);
     }
-    Duration delay(Duration longest)
+    Duration delay(Duration maxLength)
     {
-        return Duration(static_cast<Duration::rep>(m_random() % static_cast<std::uint64_t>(longest.count())));
+        return Duration(static_cast<Duration::rep>(m_random() % static_cast<std::uint64_t>(maxLength.count())));
     }
     void after(Duration delay, std::function<void()> event)
     {
--- a/tests/control/rolloutstest.cpp
+++ b/tests/control/rolloutstest.cpp
@@ -45,13 +45,13 @@
 {
     RolloutMap rollouts;
     startRollout(rollouts, order("v2"), WallTime{OrderedAt});
-    FleetAggregate tallies;
+    FleetAggregate aggregate;
     const TimePoint start{std::chrono::seconds(1)};
-    tallies.take(VmName{"vm"}, 1, {}, start);
-    decideRollouts(rollouts, tallies, WallTime{OrderedAt});
+    aggregate.recordTally(VmName{"vm"}, 1, {}, start);
+    decideRollouts(rollouts, aggregate, WallTime{OrderedAt});
     rollouts["drafts"].set_share_permille(70);
-    tallies.take(VmName{"vm"}, 1, tallyOf(versions), start + std::chrono::seconds(1));
-    return decideRollouts(rollouts, tallies, WallTime{OrderedAt + static_cast<std::int64_t>(part * 12'000)});
+    aggregate.recordTally(VmName{"vm"}, 1, tallyOf(versions), start + std::chrono::seconds(1));
+    return decideRollouts(rollouts, aggregate, WallTime{OrderedAt + static_cast<std::int64_t>(part * 12'000)});
 }
 
 v1::Command published(std::uint64_t version, const std::string &document)
--- a/tests/control/virtualcluster.cpp
+++ b/tests/control/virtualcluster.cpp
@@ -44,9 +44,9 @@
 
 TimePoint VirtualCluster::clockOf(int vm) const
 {
-    const Vm &held = m_vms[static_cast<std::size_t>(vm)];
+    const Vm &record = m_vms[static_cast<std::size_t>(vm)];
     const auto real = static_cast<double>(m_now.time_since_epoch().count());
-    return TimePoint(Duration(static_cast<Duration::rep>(real * held.clockRate)) + held.clockOffset);
+    return TimePoint(Duration(static_cast<Duration::rep>(real * record.clockRate)) + record.clockOffset);
 }
 
 void VirtualCluster::startFollower(int vm)
@@ -75,20 +75,20 @@
                                                     .hasQuorum = [](TimePoint) { return true; },
                                                 },
                                                 m_state);
-    m_leadership->lead(clockOf(vm));
+    m_leadership->startLeading(clockOf(vm));
 }
 
 void VirtualCluster::send(int from, const VmName &to, const v1::Envelope &envelope)
 {
     const int target = std::stoi(to.value.substr(3));
-    const int copies = random(1000) < static_cast<std::uint64_t>(m_options.repeatPermille) ? 2 : 1;
+    const int copies = random(1000) < static_cast<std::uint64_t>(m_options.duplicatePermille) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
         if (random(1000) < static_cast<std::uint64_t>(m_options.lossPermille)) {
             continue;
         }
-        const bool late = random(1000) < static_cast<std::uint64_t>(m_options.latePermille);
-        const Duration delay = std::chrono::microseconds(100 + random(late ? 3'000'000 : 5'000));
-        m_messages.push(Message{.at = m_now + delay, .number = ++m_messageCount, .from = from, .to = target, .envelope = envelope});
+        const bool delayed = random(1000) < static_cast<std::uint64_t>(m_options.delayedPermille);
+        const Duration delay = std::chrono::microseconds(100 + random(delayed ? 3'000'000 : 5'000));
+        m_messages.push(Message{.since = m_now + delay, .number = ++m_messageCount, .from = from, .to = target, .envelope = envelope});
     }
 }
 
@@ -100,19 +100,19 @@
         return;
     }
     if (message.envelope.has_config_heartbeat() && message.to == m_leader) {
-        m_leadership->heartbeat(nameOf(message.from), message.envelope.config_heartbeat(), clockOf(m_leader));
+        m_leadership->handleHeartbeat(nameOf(message.from), message.envelope.config_heartbeat(), clockOf(m_leader));
     } else if (message.envelope.has_config_lease()) {
         target.follower->handleLease(message.envelope.config_lease());
     } else if (message.envelope.has_config_update()) {
-        takeUpdate(message.to, message.envelope.config_update());
+        handleUpdate(message.to, message.envelope.config_update());
     }
 }
 
-void VirtualCluster::takeUpdate(int vm, const v1::ConfigUpdate &update)
+void VirtualCluster::handleUpdate(int vm, const v1::ConfigUpdate &update)
 {
     v1::Envelope relayed;
     *relayed.mutable_config_update() = update;
-    for (const Branch &branch : branches({update.relay().begin(), update.relay().end()})) {
+    for (const Branch &branch : splitFanOut({update.relay().begin(), update.relay().end()})) {
         relayed.mutable_config_update()->mutable_relay()->Assign(branch.relay.begin(), branch.relay.end());
         send(vm, branch.child, relayed);
     }
@@ -123,17 +123,17 @@
 
 void VirtualCluster::sendHeartbeat(int vm)
 {
-    Vm &held = m_vms[static_cast<std::size_t>(vm)];
-    held.nextHeartbeatAt = clockOf(vm) + HeartbeatInterval;
+    Vm &record = m_vms[static_cast<std::size_t>(vm)];
+    record.nextHeartbeatAt = clockOf(vm) + HeartbeatInterval;
     v1::Envelope envelope;
-    *envelope.mutable_config_heartbeat() = held.follower->makeHeartbeat(clockOf(vm));
+    *envelope.mutable_config_heartbeat() = record.follower->makeHeartbeat(clockOf(vm));
     send(vm, nameOf(m_leader), envelope);
 }
 
 void VirtualCluster::step()
 {
     m_now += Step;
-    while (!m_messages.empty() && m_messages.top().at <= m_now) {
+    while (!m_messages.empty() && m_messages.top().since <= m_now) {
         const Message message = m_messages.top();
         m_messages.pop();
         deliver(message);
@@ -151,7 +151,7 @@
             apply(std::move(command));
         }
     }
-    check();
+    checkInvariants();
 }
 
 void VirtualCluster::run(Duration time)
@@ -168,8 +168,8 @@
     INFO(reply.ShortDebugString());
     REQUIRE(reply.reply().outcome() == v1::CommandReply::ACCEPTED);
     m_acceptedAt[m_state.version()] = m_now;
-    m_leadership->applied(clockOf(m_leader));
-    m_leadership->waitUntilConfirmed([this, version = m_state.version()] { m_confirmedAt.emplace(version, m_now); }, clockOf(m_leader));
+    m_leadership->publishIfChanged(clockOf(m_leader));
+    m_leadership->notifyWhenConfirmed([this, version = m_state.version()] { m_confirmedAt.emplace(version, m_now); }, clockOf(m_leader));
 }
 
 void VirtualCluster::accept(std::vector<v1::Change> changes)
@@ -225,8 +225,8 @@
 void VirtualCluster::makeReliable()
 {
     m_options.lossPermille = 0;
-    m_options.repeatPermille = 0;
-    m_options.latePermille = 0;
+    m_options.duplicatePermille = 0;
+    m_options.delayedPermille = 0;
 }
 
 void VirtualCluster::drain(int vm)
@@ -236,8 +236,8 @@
 
 bool VirtualCluster::admits(int vm) const
 {
-    const Vm &held = m_vms[static_cast<std::size_t>(vm)];
-    return held.up && clockOf(vm) < held.follower->admitUntil();
+    const Vm &record = m_vms[static_cast<std::size_t>(vm)];
+    return record.up && clockOf(vm) < record.follower->admitUntil();
 }
 
 int VirtualCluster::holderOf(const std::string &cell) const
@@ -257,21 +257,21 @@
     return holder;
 }
 
-std::uint64_t VirtualCluster::newestDue(const std::map<std::uint64_t, TimePoint> &since, Duration bound) const
+std::uint64_t VirtualCluster::newestVersionDue(const std::map<std::uint64_t, TimePoint> &versionTimes, Duration bound) const
 {
-    // The bound is by the leader's clock, which may be slow, and a step late.
+    // The bound is measured by the leader's clock, which may be slow, and a step late.
     const Duration latest = bound + bound / 100 + Step;
     std::uint64_t newest = 0;
-    for (const auto &[version, at] : since) {
-        newest = at + latest <= m_now ? std::max(newest, version) : newest;
+    for (const auto &[version, since] : versionTimes) {
+        newest = since + latest <= m_now ? std::max(newest, version) : newest;
     }
     return newest;
 }
 
-void VirtualCluster::check()
+void VirtualCluster::checkInvariants()
 {
-    const std::uint64_t accepted = newestDue(m_acceptedAt, LeaseOptions{}.bound() + m_options.keepAdmitting);
-    const std::uint64_t confirmed = newestDue(m_confirmedAt, LeadershipOptions{}.confirmWithin);
+    const std::uint64_t accepted = newestVersionDue(m_acceptedAt, LeaseOptions{}.maxDistributionTime() + m_options.keepAdmitting);
+    const std::uint64_t confirmed = newestVersionDue(m_confirmedAt, LeadershipOptions{}.confirmWithin);
     const std::uint64_t mustHave = std::max(accepted, confirmed);
     for (int i = 0; i < m_options.vms; ++i) {
         if (!admits(i)) {
--- a/tests/control/virtualcluster.h
+++ b/tests/control/virtualcluster.h
@@ -10,8 +10,8 @@
 #include <random>
 #include <set>
 
-/// VMs with configuration leases in virtual time: one leads, all follow, and messages between them are lost, late, repeated and
-/// reordered. The log itself is taken as given: an accepted command is there for every leader after.
+/// Simulates VMs with configuration leases in virtual time: one leads, all follow, and messages between them are lost, delayed, duplicated and
+/// reordered. The log itself is not simulated: an accepted command is known to every later leader.
 namespace cumindyke::test
 {
 
@@ -19,12 +19,12 @@
 {
     int vms = 7;
     std::uint64_t seed = 1;
-    /// Messages lost and repeated, in thousandths.
+    /// Messages lost and duplicated, in thousandths.
     int lossPermille = 50;
-    int repeatPermille = 30;
-    /// Most messages take up to 5 ms; this share, in thousandths, takes up to 3 s.
-    int latePermille = 20;
-    /// After their leases.
+    int duplicatePermille = 30;
+    /// Messages that take up to 3 s, in thousandths; others take up to 5 ms.
+    int delayedPermille = 20;
+    /// How long VMs admit work after their leases.
     Duration keepAdmitting = Duration::zero();
 };
 
@@ -33,20 +33,20 @@
 public:
     explicit VirtualCluster(VirtualClusterOptions options);
 
-    /// One step of 10 ms on every VM, then the check of what must always hold.
+    /// Advances every VM by 10 ms, then checks the invariants.
     void step();
     void run(Duration time);
     std::uint64_t random(std::uint64_t below);
 
     void accept(v1::Change change);
     void accept(std::vector<v1::Change> changes);
-    /// Cuts a VM off: nothing it sends arrives, or nothing reaches it, or both.
+    /// Sets whether messages from the VM (out) and to it (in) are dropped.
     void cut(int vm, bool out, bool in);
     void heal();
-    /// A new process of the VM; if it led, it leads again from what the log holds.
+    /// Starts a new process of the VM; if the VM led, it leads again from the state of the log.
     void restart(int vm);
     void crash(int vm);
-    /// Another VM is elected; the one before can prove no quorum from now on, but does not know yet that it is no leader.
+    /// Makes another VM the leader; the one before can prove no quorum from now on, but still takes itself for the leader.
     void elect(int vm);
     void makeReliable();
     void drain(int vm);
@@ -64,18 +64,18 @@
         return m_leader;
     }
     bool admits(int vm) const;
-    /// The VM that acts as the cell's scheduler now, or -1.
+    /// Returns the VM that acts as the cell's scheduler now, or -1.
     int holderOf(const std::string &cell) const;
     TimePoint now() const
     {
         return m_now;
     }
-    /// How many versions were confirmed.
+    /// Number of confirmed versions.
     std::size_t confirmations() const
     {
         return m_confirmedAt.size();
     }
-    /// How often a VM admitted work in a step: shows that a history exercised anything.
+    /// Number of steps in which a VM admitted work, summed over the VMs: shows that a history tested anything.
     std::uint64_t admittedSteps() const
     {
         return m_admittedSteps;
@@ -95,7 +95,7 @@
     };
     struct Message
     {
-        TimePoint at;
+        TimePoint since;
         std::uint64_t number;
         int from;
         int to;
@@ -103,7 +103,7 @@
 
         bool operator<(const Message &other) const
         {
-            return std::tie(other.at, other.number) < std::tie(at, number);
+            return std::tie(other.since, other.number) < std::tie(since, number);
         }
     };
 
@@ -114,11 +114,11 @@
     void send(int from, const VmName &to, const v1::Envelope &envelope);
     void deliver(const Message &message);
     void sendHeartbeat(int vm);
-    void takeUpdate(int vm, const v1::ConfigUpdate &update);
+    void handleUpdate(int vm, const v1::ConfigUpdate &update);
     void apply(v1::Command command);
-    void check();
-    /// The newest version of those that were due by now.
-    std::uint64_t newestDue(const std::map<std::uint64_t, TimePoint> &since, Duration bound) const;
+    void checkInvariants();
+    /// Returns the newest version whose time lies at least the bound in the past.
+    std::uint64_t newestVersionDue(const std::map<std::uint64_t, TimePoint> &versionTimes, Duration bound) const;
 
     VirtualClusterOptions m_options;
     std::mt19937_64 m_random;
