--- a/src/control/claims.cpp
+++ b/src/control/claims.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/// For an end that forbids a claim before it came: far longer than a command can be under way.
-constexpr std::uint32_t ForbiddenKeepSeconds = 3600;
+/// Retention of an end that forbids a claim in advance: far longer than a command can be in flight.
+constexpr std::uint32_t EarlyEndRetentionSeconds = 3600;
 
 std::int64_t expiryOf(const v1::ClaimRecord &record)
 {
@@ -25,15 +25,15 @@
 
 }
 
-v1::ClaimReply Claims::claim(const v1::ClaimRequest &request, WallTime at)
+v1::ClaimReply Claims::claim(const v1::ClaimRequest &request, WallTime now)
 {
-    expire(at);
+    expire(now);
     const Key key{request.organisation(), request.service(), request.key()};
     const auto found = m_records.find(key);
     if (found != m_records.end()) {
         const v1::ClaimRecord &record = found->second;
-        const bool otherMayClaim = record.end().end() == v1::ClaimEnd::NOT_RUN && record.claim().request_id() != request.request_id();
-        if (!otherMayClaim) {
+        const bool mayReclaim = record.end().end() == v1::ClaimEnd::NOT_RUN && record.claim().request_id() != request.request_id();
+        if (!mayReclaim) {
             return replyFor(record, request);
         }
     } else if (m_records.size() >= m_limits.maxClaims) {
@@ -41,7 +41,7 @@
     }
     v1::ClaimRecord record;
     *record.mutable_claim() = request;
-    put(key, std::move(record));
+    storeRecord(key, std::move(record));
     return replyOf(v1::ClaimReply::CLAIMED);
 }
 
@@ -61,7 +61,7 @@
     } else if (record.end().end() == v1::ClaimEnd::OUTCOME_LOST) {
         reply.set_outcome(v1::ClaimReply::OUTCOME_LOST);
     } else if (record.claim().request_id() == request.request_id()) {
-        // The same sending asks again because the first answer was lost on its way: it still is the one that may run.
+        // The same attempt claims again because the first reply was lost: it is still the one that may run.
         reply.set_outcome(v1::ClaimReply::CLAIMED);
     } else {
         reply.set_outcome(v1::ClaimReply::HELD);
@@ -70,16 +70,16 @@
     return reply;
 }
 
-void Claims::end(const v1::ClaimEnd &end, WallTime at)
+void Claims::end(const v1::ClaimEnd &end, WallTime now)
 {
-    expire(at);
+    expire(now);
     const Key key{end.organisation(), end.service(), end.key()};
     const auto found = m_records.find(key);
     v1::ClaimRecord record;
     if (found != m_records.end()) {
         record = found->second;
-        const bool lateAnswer = record.end().end() == v1::ClaimEnd::OUTCOME_LOST && end.end() == v1::ClaimEnd::ANSWERED;
-        if (record.claim().request_id() != end.request_id() || (record.has_end() && !lateAnswer)) {
+        const bool isLateAnswer = record.end().end() == v1::ClaimEnd::OUTCOME_LOST && end.end() == v1::ClaimEnd::ANSWERED;
+        if (record.claim().request_id() != end.request_id() || (record.has_end() && !isLateAnswer)) {
             return;
         }
     } else {
@@ -87,7 +87,7 @@
             return;
         }
         record.mutable_claim()->set_request_id(end.request_id());
-        record.mutable_claim()->set_keep_s(ForbiddenKeepSeconds);
+        record.mutable_claim()->set_keep_s(EarlyEndRetentionSeconds);
     }
     *record.mutable_end() = end;
     const std::size_t bytes = end.answer().body().size();
@@ -95,35 +95,35 @@
         record.mutable_end()->clear_answer();
         record.mutable_end()->set_end(v1::ClaimEnd::OUTCOME_LOST);
     }
-    record.set_ended_at_ms(m_now);
-    put(key, std::move(record));
+    record.set_ended_at_ms(m_latestTime);
+    storeRecord(key, std::move(record));
 }
 
-void Claims::expire(WallTime at)
+void Claims::expire(WallTime now)
 {
-    m_now = std::max(m_now, at.value);
-    while (!m_expiry.empty() && m_expiry.begin()->first <= m_now) {
-        erase(m_records.find(m_expiry.begin()->second));
+    m_latestTime = std::max(m_latestTime, now.value);
+    while (!m_keysByExpiry.empty() && m_keysByExpiry.begin()->first <= m_latestTime) {
+        eraseRecord(m_records.find(m_keysByExpiry.begin()->second));
     }
 }
 
-void Claims::put(const Key &key, v1::ClaimRecord record)
+void Claims::storeRecord(const Key &key, v1::ClaimRecord record)
 {
     const auto found = m_records.find(key);
     if (found != m_records.end()) {
-        erase(found);
+        eraseRecord(found);
     }
     m_bytes += record.end().answer().body().size();
     if (record.has_end()) {
-        m_expiry.emplace(expiryOf(record), key);
+        m_keysByExpiry.emplace(expiryOf(record), key);
     }
     m_records.emplace(key, std::move(record));
 }
 
-void Claims::erase(std::map<Key, v1::ClaimRecord>::iterator found)
+void Claims::eraseRecord(std::map<Key, v1::ClaimRecord>::iterator found)
 {
     m_bytes -= found->second.end().answer().body().size();
-    m_expiry.erase({expiryOf(found->second), found->first});
+    m_keysByExpiry.erase({expiryOf(found->second), found->first});
     m_records.erase(found);
 }
 
@@ -143,8 +143,8 @@
 {
     *this = Claims(m_limits);
     for (const v1::ClaimRecord &record : snapshot.claims()) {
-        m_now = std::max<std::int64_t>(m_now, record.ended_at_ms());
-        put(Key{record.claim().organisation(), record.claim().service(), record.claim().key()}, record);
+        m_latestTime = std::max<std::int64_t>(m_latestTime, record.ended_at_ms());
+        storeRecord(Key{record.claim().organisation(), record.claim().service(), record.claim().key()}, record);
     }
 }
 
--- a/src/control/controltask.h
+++ b/src/control/controltask.h
@@ -227,7 +227,7 @@
     /// Null on a VM without a data folder.
     std::unique_ptr<raft::ReplicatedLog> m_log;
     Timer m_flush;
-    PendingProposals m_pending;
+    PendingProposals m_pendingProposals;
     Leadership m_leadership;
     /// The last beat of each VM that this one could neither grant a lease nor name a leader: answered when there is one.
     std::map<VmName, v1::ConfigHeartbeat> m_unansweredBeats;
--- a/src/control/controltaskleader.cpp
+++ b/src/control/controltaskleader.cpp
@@ -91,7 +91,7 @@
             logChange("control", "revision-accepted", {{"revision", std::to_string(m_state.declarations().revision().value)}});
         }
     }
-    m_pending.applied(index, term, reply);
+    m_pendingProposals.onApplied(index, term, reply);
 }
 
 void ControlTask::flushLog()
@@ -100,7 +100,7 @@
     m_log->flush(now);
     followLeadership(now);
     m_leadership.publishIfChanged(now);
-    m_pending.answerDecided();
+    m_pendingProposals.deliverAnswers();
 }
 
 /// This VM leads from the moment it has applied everything that earlier leaders committed. Led again in another term, it begins anew:
@@ -110,7 +110,7 @@
     if (m_leadership.isLeading() && (!m_log->isLeader() || m_log->term() != m_ledTerm)) {
         m_leadership.stopLeading();
         m_orders.stopLeading();
-        m_pending.forget();
+        m_pendingProposals.discardAll();
     }
     if (!m_leadership.isLeading() && m_log->isLeader() && m_log->hasReadableState(now)) {
         m_ledTerm = m_log->term();
@@ -134,7 +134,7 @@
         answer(Error{ErrorKind::Unavailable, "this VM doesn't lead the control replicas: send the command again"});
         return;
     }
-    m_pending.add(*index, m_log->term(), command.command_id(), answer);
+    m_pendingProposals.add(*index, m_log->term(), command.command_id(), answer);
 }
 
 void ControlTask::proposeHere(const VmName &from, const v1::ProposeRequest &request)
@@ -157,7 +157,7 @@
     }
     const AnswerWhen when = answerWhen(command);
     // A resend of a large configuration would make the log longer by all of it.
-    if (const v1::ProposeReply *known = m_state.answerTo(command.command_id())) {
+    if (const v1::ProposeReply *known = m_state.savedAnswer(command.command_id())) {
         answerDecided(from, call, when, *known);
         return;
     }
@@ -167,7 +167,7 @@
             answerDecided(from, call, when, valueOf(result));
         }
     };
-    if (!m_pending.join(command.command_id(), answer)) {
+    if (!m_pendingProposals.attach(command.command_id(), answer)) {
         propose(std::move(command), answer);
     }
 }
--- a/src/control/convert.cpp
+++ b/src/control/convert.cpp
@@ -8,13 +8,13 @@
 namespace
 {
 
-void fill(v1::Tier &wire, const Tier &tier)
+void write(v1::Tier &wire, const Tier &tier)
 {
     wire.set_name(tier.name.value);
     wire.set_rank(tier.rank.value);
 }
 
-void fill(v1::Organisation &wire, const Organisation &organisation)
+void write(v1::Organisation &wire, const Organisation &organisation)
 {
     wire.set_name(organisation.name.value);
     for (const KeyHash &hash : organisation.keyHashes) {
@@ -26,7 +26,7 @@
     wire.set_weight(organisation.weight);
 }
 
-void fill(v1::Service &wire, const Service &service)
+void write(v1::Service &wire, const Service &service)
 {
     wire.set_name(service.name.value);
     wire.set_kind(service.kind == ServiceKind::Model ? v1::SERVICE_KIND_MODEL : v1::SERVICE_KIND_PLAIN);
@@ -45,7 +45,7 @@
     wire.set_keep_answers_s(static_cast<std::uint32_t>(service.keepAnswers.count()));
 }
 
-void fill(v1::Upstream &wire, const Upstream &upstream)
+void write(v1::Upstream &wire, const Upstream &upstream)
 {
     wire.set_name(upstream.name.value);
     wire.set_service(upstream.service.value);
@@ -56,29 +56,29 @@
     wire.set_checks_fence(upstream.checksFence);
 }
 
-struct ChangeFiller
+struct ChangeWriter
 {
     v1::Change &wire;
 
     void operator()(const Tier &tier) const
     {
-        fill(*wire.mutable_tier(), tier);
+        write(*wire.mutable_tier(), tier);
     }
     void operator()(const Organisation &organisation) const
     {
-        fill(*wire.mutable_organisation(), organisation);
+        write(*wire.mutable_organisation(), organisation);
     }
     void operator()(const Service &service) const
     {
-        fill(*wire.mutable_service(), service);
+        write(*wire.mutable_service(), service);
     }
     void operator()(const Upstream &upstream) const
     {
-        fill(*wire.mutable_upstream(), upstream);
+        write(*wire.mutable_upstream(), upstream);
     }
     void operator()(const Removal &removal) const
     {
-        // Kind's values stand in the same order on the wire, after "unspecified".
+        // The values of Kind are in the same order on the wire, after "unspecified".
         wire.mutable_removal()->set_kind(static_cast<v1::Kind>(static_cast<int>(removal.kind) + 1));
         wire.mutable_removal()->set_name(removal.name);
     }
@@ -149,7 +149,7 @@
 v1::Change toWire(const Change &change)
 {
     v1::Change wire;
-    std::visit(ChangeFiller{wire}, change);
+    std::visit(ChangeWriter{wire}, change);
     return wire;
 }
 
@@ -180,40 +180,40 @@
     v1::Declarations wire;
     wire.set_revision(declarations.revision().value);
     for (const auto &[name, tier] : declarations.tiers()) {
-        fill(*wire.add_tiers(), tier);
+        write(*wire.add_tiers(), tier);
     }
     for (const auto &[name, organisation] : declarations.organisations()) {
-        fill(*wire.add_organisations(), organisation);
+        write(*wire.add_organisations(), organisation);
     }
     for (const auto &[name, service] : declarations.services()) {
-        fill(*wire.add_services(), service);
+        write(*wire.add_services(), service);
     }
     for (const auto &[name, upstream] : declarations.upstreams()) {
-        fill(*wire.add_upstreams(), upstream);
+        write(*wire.add_upstreams(), upstream);
     }
     return wire;
 }
 
 Result<Declarations> fromWire(const v1::Declarations &declarations)
 {
-    std::vector<Change> puts;
+    std::vector<Change> changes;
     for (const v1::Tier &tier : declarations.tiers()) {
-        puts.emplace_back(tierFrom(tier));
+        changes.emplace_back(tierFrom(tier));
     }
     for (const v1::Organisation &organisation : declarations.organisations()) {
-        puts.emplace_back(organisationFrom(organisation));
+        changes.emplace_back(organisationFrom(organisation));
     }
     for (const v1::Service &service : declarations.services()) {
-        puts.emplace_back(serviceFrom(service));
+        changes.emplace_back(serviceFrom(service));
     }
     for (const v1::Upstream &upstream : declarations.upstreams()) {
-        const Result<Change> put = upstreamFrom(upstream);
-        if (!ok(put)) {
-            return errorOf(put);
+        const Result<Change> change = upstreamFrom(upstream);
+        if (!ok(change)) {
+            return errorOf(change);
         }
-        puts.push_back(valueOf(put));
+        changes.push_back(valueOf(change));
     }
-    return Declarations::restored(Revision{declarations.revision()}, puts);
+    return Declarations::restored(Revision{declarations.revision()}, changes);
 }
 
 }
--- a/src/control/convert.h
+++ b/src/control/convert.h
@@ -4,12 +4,12 @@
 
 #include "declarations.pb.h"
 
-/// Between the domain's aggregates and their form on the wire.
+/// Conversion between the domain's types and their messages on the wire.
 namespace cumindyke
 {
 
 v1::Change toWire(const Change &change);
-/// Errors: Invalid, when a message sets no change or a field can't be a domain value.
+/// Errors: Invalid if the message sets no change or a field is no valid domain value.
 Result<Change> fromWire(const v1::Change &change);
 
 v1::Declarations toWire(const Declarations &declarations);
--- a/src/control/follower.cpp
+++ b/src/control/follower.cpp
@@ -168,7 +168,7 @@
     }
     update.set_routes_version(state.routeHistory().newest().version());
     if (routesVersion != update.routes_version()) {
-        *update.mutable_routes() = state.routeHistory().since(routesVersion);
+        *update.mutable_routes() = state.routeHistory().updateSince(routesVersion);
     }
     for (const auto &[service, rollout] : state.rollouts()) {
         *update.add_rollouts() = rollout;
--- a/src/control/routechanges.cpp
+++ b/src/control/routechanges.cpp
@@ -29,9 +29,9 @@
     return organisation.name();
 }
 
-/// The items by key, serialized; none when two have the same key.
+/// Returns the serialized items by key; no value if two have the same key.
 template<typename Item>
-std::optional<std::unordered_map<std::string, std::string>> byKey(const Items<Item> &items)
+std::optional<std::unordered_map<std::string, std::string>> serializedByKey(const Items<Item> &items)
 {
     std::unordered_map<std::string, std::string> found;
     found.reserve(static_cast<std::size_t>(items.size()));
@@ -43,24 +43,24 @@
     return found;
 }
 
-/// Fills in what was set and what was removed. False when an item can't be told from another.
+/// Appends the items that were set and the keys that were removed. Returns false if two items have the same key.
 template<typename Item>
-bool compare(const Items<Item> &before, const Items<Item> &after, Items<Item> &set, Items<std::string> &removed)
+bool appendDifferences(const Items<Item> &before, const Items<Item> &after, Items<Item> &set, Items<std::string> &removed)
 {
-    const auto old = byKey(before);
-    const auto fresh = byKey(after);
-    if (!old || !fresh) {
+    const auto previous = serializedByKey(before);
+    const auto current = serializedByKey(after);
+    if (!previous || !current) {
         return false;
     }
     for (const Item &item : after) {
         const std::string key = keyOf(item);
-        const auto known = old->find(key);
-        if (known == old->end() || known->second != fresh->at(key)) {
+        const auto known = previous->find(key);
+        if (known == previous->end() || known->second != current->at(key)) {
             *set.Add() = item;
         }
     }
-    for (const auto &[key, bytes] : *old) {
-        if (!fresh->contains(key)) {
+    for (const auto &[key, bytes] : *previous) {
+        if (!current->contains(key)) {
             *removed.Add() = key;
         }
     }
@@ -68,16 +68,16 @@
 }
 
 template<typename Item>
-Items<Item> changed(const Items<Item> &before, const Items<Item> &set, const Items<std::string> &removed)
+Items<Item> itemsAfterChange(const Items<Item> &before, const Items<Item> &set, const Items<std::string> &removed)
 {
-    std::unordered_set<std::string> gone(removed.begin(), removed.end());
+    std::unordered_set<std::string> replacedKeys(removed.begin(), removed.end());
     for (const Item &item : set) {
-        gone.insert(keyOf(item));
+        replacedKeys.insert(keyOf(item));
     }
     Items<Item> items;
     items.Reserve(before.size() + set.size());
     for (const Item &item : before) {
-        if (gone.empty() || !gone.contains(keyOf(item))) {
+        if (replacedKeys.empty() || !replacedKeys.contains(keyOf(item))) {
             *items.Add() = item;
         }
     }
@@ -86,7 +86,7 @@
 }
 
 template<typename Item>
-std::uint64_t sumOf(const Items<Item> &items)
+std::uint64_t checksumSum(const Items<Item> &items)
 {
     std::uint64_t sum = 0;
     for (const Item &item : items) {
@@ -95,21 +95,21 @@
     return sum;
 }
 
-/// The same for the same items in any order.
+/// Checksum of the content that does not depend on the order of the items.
 std::uint64_t contentChecksum(const v1::RouteTable &table)
 {
-    return sumOf(table.routes()) + sumOf(table.services()) + sumOf(table.organisations());
+    return checksumSum(table.routes()) + checksumSum(table.services()) + checksumSum(table.organisations());
 }
 
 }
 
-std::optional<v1::RouteTableChange> changeBetween(const v1::RouteTable &before, const v1::RouteTable &after)
+std::optional<v1::RouteTableChange> diffRouteTables(const v1::RouteTable &before, const v1::RouteTable &after)
 {
     v1::RouteTableChange change;
-    const bool told = compare(before.routes(), after.routes(), *change.mutable_routes(), *change.mutable_removed_routes())
-        && compare(before.services(), after.services(), *change.mutable_services(), *change.mutable_removed_services())
-        && compare(before.organisations(), after.organisations(), *change.mutable_organisations(), *change.mutable_removed_organisations());
-    if (!told) {
+    const bool comparable = appendDifferences(before.routes(), after.routes(), *change.mutable_routes(), *change.mutable_removed_routes())
+        && appendDifferences(before.services(), after.services(), *change.mutable_services(), *change.mutable_removed_services())
+        && appendDifferences(before.organisations(), after.organisations(), *change.mutable_organisations(), *change.mutable_removed_organisations());
+    if (!comparable) {
         return {};
     }
     change.set_version(after.version());
@@ -117,13 +117,13 @@
     return change;
 }
 
-Result<v1::RouteTable> withChange(const v1::RouteTable &before, const v1::RouteTableChange &change)
+Result<v1::RouteTable> applyRouteTableChange(const v1::RouteTable &before, const v1::RouteTableChange &change)
 {
     v1::RouteTable after;
     after.set_version(change.version());
-    *after.mutable_routes() = changed(before.routes(), change.routes(), change.removed_routes());
-    *after.mutable_services() = changed(before.services(), change.services(), change.removed_services());
-    *after.mutable_organisations() = changed(before.organisations(), change.organisations(), change.removed_organisations());
+    *after.mutable_routes() = itemsAfterChange(before.routes(), change.routes(), change.removed_routes());
+    *after.mutable_services() = itemsAfterChange(before.services(), change.services(), change.removed_services());
+    *after.mutable_organisations() = itemsAfterChange(before.organisations(), change.organisations(), change.removed_organisations());
     if (contentChecksum(after) != change.content_checksum()) {
         return Error{ErrorKind::Invalid, "the change was made for another route table: ask for the whole one"};
     }
--- a/src/control/routehistory.cpp
+++ b/src/control/routehistory.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-Error unreadable()
+Error unreadableTable()
 {
     return Error{ErrorKind::Invalid, "the route table can't be read: publish it from a VM of the same version"};
 }
@@ -22,7 +22,7 @@
     const Result<std::string> bytes = unpack(packed);
     Message message;
     if (!ok(bytes) || !message.ParseFromString(valueOf(bytes))) {
-        return unreadable();
+        return unreadableTable();
     }
     return message;
 }
@@ -46,7 +46,7 @@
     return publication;
 }
 
-Result<RouteTablePointer> tableOf(const v1::PublishRoutes &publication)
+Result<RouteTablePointer> unpackRouteTable(const v1::PublishRoutes &publication)
 {
     if (publication.packed_table().empty()) {
         return std::make_shared<const v1::RouteTable>(publication.table());
@@ -68,12 +68,12 @@
 {
     const RouteTablePointer before = std::exchange(m_newest, std::move(table));
     m_packedNewest = packed.empty() ? pack(m_newest->SerializeAsString()) : std::move(packed);
-    addChange(*before);
+    recordChange(*before);
 }
 
-void RouteHistory::addChange(const v1::RouteTable &before)
+void RouteHistory::recordChange(const v1::RouteTable &before)
 {
-    const std::optional<v1::RouteTableChange> change = before.version() == 0 ? std::nullopt : changeBetween(before, *m_newest);
+    const std::optional<v1::RouteTableChange> change = before.version() == 0 ? std::nullopt : diffRouteTables(before, *m_newest);
     if (!change) {
         m_changes.clear();
         return;
@@ -83,8 +83,8 @@
     packed.set_version(m_newest->version());
     packed.set_packed(pack(change->SerializeAsString()));
     std::size_t bytes = 0;
-    for (const v1::PackedRoutesChange &held : m_changes) {
-        bytes += held.ByteSizeLong();
+    for (const v1::PackedRoutesChange &kept : m_changes) {
+        bytes += kept.ByteSizeLong();
     }
     while (!m_changes.empty() && bytes > m_packedNewest.size()) {
         bytes -= m_changes.front().ByteSizeLong();
@@ -92,7 +92,7 @@
     }
 }
 
-v1::RoutesUpdate RouteHistory::since(std::uint64_t version) const
+v1::RoutesUpdate RouteHistory::updateSince(std::uint64_t version) const
 {
     v1::RoutesUpdate update;
     update.set_version(m_newest->version());
@@ -105,15 +105,15 @@
     return update;
 }
 
-Result<RouteTablePointer> applyRoutesUpdate(const RouteTablePointer &held, const v1::RoutesUpdate &update)
+Result<RouteTablePointer> applyRoutesUpdate(const RouteTablePointer &current, const v1::RoutesUpdate &update)
 {
     if (!update.packed_table().empty()) {
         return unpackTable(update.packed_table());
     }
-    RouteTablePointer table = held;
+    RouteTablePointer table = current;
     for (const v1::PackedRoutesChange &packed : update.changes()) {
         const std::uint64_t version = table ? table->version() : 0;
-        // The update may start before what is held.
+        // The update may start before the current version.
         if (packed.version() <= version) {
             continue;
         }
@@ -124,7 +124,7 @@
         if (!ok(change)) {
             return errorOf(change);
         }
-        Result<v1::RouteTable> next = withChange(*table, valueOf(change));
+        Result<v1::RouteTable> next = applyRouteTableChange(*table, valueOf(change));
         if (!ok(next)) {
             return errorOf(next);
         }
--- a/src/control/statemachine.cpp
+++ b/src/control/statemachine.cpp
@@ -12,9 +12,9 @@
 namespace
 {
 
-constexpr std::size_t MaxHistory = 10'000;
-/// At 5,100 changes a day this is twelve days: no client resends a command that long.
-constexpr std::size_t MaxAnswers = 65'536;
+constexpr std::size_t MaxHistoryEntries = 10'000;
+/// At 5,100 changes a day these cover twelve days; no client resends a command for that long.
+constexpr std::size_t MaxSavedAnswers = 65'536;
 
 v1::CommandReply invalid(Revision revision, const std::string &message)
 {
@@ -29,11 +29,11 @@
 
 v1::ProposeReply StateMachine::apply(const v1::Command &command)
 {
-    // Claims keep their own answers, by request id: thousands a second would push the operators' answers out.
+    // Claims save their own answers by request id: at thousands a second they would evict the operators' answers.
     if (command.has_claim() || command.has_claim_end()) {
         return applyClaim(command);
     }
-    if (const auto known = m_answers.find(command.command_id()); known != m_answers.end()) {
+    if (const auto known = m_savedAnswers.find(command.command_id()); known != m_savedAnswers.end()) {
         return known->second;
     }
     v1::ProposeReply reply;
@@ -48,21 +48,21 @@
         *reply.mutable_reply() = abortMove(m_moves, m_declarations, command.abort_move(), WallTime{command.at_ms()});
         break;
     case v1::Command::kMoveVerdict:
-        *reply.mutable_reply() = decideMove(command);
+        *reply.mutable_reply() = applyMoveVerdict(command);
         break;
     case v1::Command::kRecordBurn:
         m_burn.record(fromWire(command.record_burn().counts()), WallTime{command.at_ms()});
-        // Nothing that VMs must have in force, so no new version; and an answer that nobody asks for again is not kept.
+        // VMs need no part of this in force, so the version stays; the answer is not saved, since the command is never resent.
         return reply;
     case v1::Command::kPublishRoutes:
         *reply.mutable_reply() = publishRoutes(command.publish_routes());
         break;
     case v1::Command::kStartRollout:
-        *reply.mutable_reply() = orderRollout(command);
+        *reply.mutable_reply() = applyStartRollout(command);
         break;
     case v1::Command::kRolloutVerdict:
         applyRolloutVerdict(m_rollouts, command.rollout_verdict());
-        *reply.mutable_reply() = accepted();
+        *reply.mutable_reply() = acceptedReply();
         break;
     case v1::Command::kAssignCell:
         *reply.mutable_reply() = assignCell(command.assign_cell());
@@ -77,7 +77,7 @@
     if (reply.reply().outcome() == v1::CommandReply::ACCEPTED) {
         ++m_version;
     }
-    remember(command.command_id(), reply);
+    saveAnswer(command.command_id(), reply);
     return reply;
 }
 
@@ -88,7 +88,7 @@
         *reply.mutable_claim() = m_claims.claim(command.claim(), WallTime{command.at_ms()});
     } else {
         m_claims.end(command.claim_end(), WallTime{command.at_ms()});
-        // A forwarded command is asked again until its reply says something.
+        // A forwarded command is resent until its reply has an outcome.
         reply.mutable_reply()->set_outcome(v1::CommandReply::ACCEPTED);
     }
     return reply;
@@ -119,18 +119,18 @@
     if (!ok(next)) {
         return invalid(m_declarations.revision(), errorOf(next).message);
     }
-    if (const std::optional<Error> broken = brokenMoveRule(m_moves, valueOf(next))) {
-        return invalid(m_declarations.revision(), broken->message);
+    if (const std::optional<Error> violation = brokenMoveRule(m_moves, valueOf(next))) {
+        return invalid(m_declarations.revision(), violation->message);
     }
     m_declarations = valueOf(next);
     addHistory(command, request.author(), request.changes());
-    return accepted();
+    return acceptedReply();
 }
 
-/// The highest version is in force. A lower or equal one is accepted without effect: it is a resend, or came second in a race.
+/// Puts the highest version in force. A lower or equal one is accepted without effect: it is a resend, or lost a race against a newer one.
 v1::CommandReply StateMachine::publishRoutes(const v1::PublishRoutes &publication)
 {
-    Result<RouteTablePointer> table = tableOf(publication);
+    Result<RouteTablePointer> table = unpackRouteTable(publication);
     if (!ok(table)) {
         return invalid(m_declarations.revision(), errorOf(table).message);
     }
@@ -138,10 +138,10 @@
         m_routes = publication;
         m_routeHistory.publish(std::move(valueOf(table)), publication.packed_table());
     }
-    return accepted();
+    return acceptedReply();
 }
 
-v1::CommandReply StateMachine::orderRollout(const v1::Command &command)
+v1::CommandReply StateMachine::applyStartRollout(const v1::Command &command)
 {
     const std::string &service = command.start_rollout().service();
     const auto &services = m_routeHistory.newest().services();
@@ -149,10 +149,10 @@
         return invalid(m_declarations.revision(), "there is no service '" + service + "': publish it first, or mend the name");
     }
     startRollout(m_rollouts, command.start_rollout(), WallTime{command.at_ms()});
-    return accepted();
+    return acceptedReply();
 }
 
-v1::CommandReply StateMachine::accepted() const
+v1::CommandReply StateMachine::acceptedReply() const
 {
     v1::CommandReply reply;
     reply.set_outcome(v1::CommandReply::ACCEPTED);
@@ -169,12 +169,12 @@
     entry.set_at_ms(command.at_ms());
     *entry.mutable_changes() = changes;
     m_history.push_back(std::move(entry));
-    if (m_history.size() > MaxHistory) {
+    if (m_history.size() > MaxHistoryEntries) {
         m_history.pop_front();
     }
 }
 
-v1::CommandReply StateMachine::decideMove(const v1::Command &command)
+v1::CommandReply StateMachine::applyMoveVerdict(const v1::Command &command)
 {
     const AppliedVerdict applied = applyVerdict(m_moves, m_declarations, command.move_verdict(), WallTime{command.at_ms()});
     if (!applied.declared) {
@@ -191,20 +191,20 @@
     return applied.reply;
 }
 
-void StateMachine::remember(const std::string &commandId, const v1::ProposeReply &reply)
+void StateMachine::saveAnswer(const std::string &commandId, const v1::ProposeReply &reply)
 {
-    m_answers.emplace(commandId, reply);
-    m_answerOrder.push_back(commandId);
-    if (m_answerOrder.size() > MaxAnswers) {
-        m_answers.erase(m_answerOrder.front());
-        m_answerOrder.pop_front();
+    m_savedAnswers.emplace(commandId, reply);
+    m_savedAnswerOrder.push_back(commandId);
+    if (m_savedAnswerOrder.size() > MaxSavedAnswers) {
+        m_savedAnswers.erase(m_savedAnswerOrder.front());
+        m_savedAnswerOrder.pop_front();
     }
 }
 
 v1::CommandReply StateMachine::assignCell(const v1::CellAssignment &assignment)
 {
     v1::CellAssignment &cell = m_cells[assignment.cell()];
-    // Two leaders in turn may decide about the same epoch: the first in the log wins, and an epoch never has two holders.
+    // Two successive leaders may assign the same epoch: the first assignment in the log wins, so that an epoch never has two holders.
     if (assignment.epoch() != cell.epoch() + 1) {
         return invalid(m_declarations.revision(), "the cell is at epoch " + std::to_string(cell.epoch()) + " already: look again before you assign it");
     }
@@ -212,54 +212,54 @@
     cell = assignment;
     cell.set_before(before);
     cell.set_version(m_version + 1);
-    return accepted();
+    return acceptedReply();
 }
 
-/// Makes the snapshot's declarations the newest revision. Nothing goes back: revisions, versions and epochs only grow, and answers
-/// given since the snapshot was taken stay.
+/// Makes the snapshot's declarations the newest revision. Revisions, versions and epochs only grow, and answers saved since the snapshot was taken
+/// are kept.
 v1::CommandReply StateMachine::restoreDeclarations(const v1::Command &command, const v1::RestoreSnapshotRequest &request)
 {
     v1::StateSnapshot snapshot;
-    StateMachine saved;
-    if (!snapshot.ParseFromString(request.snapshot()) || !ok(saved.restore(request.snapshot()))) {
+    StateMachine source;
+    if (!snapshot.ParseFromString(request.snapshot()) || !ok(source.restore(request.snapshot()))) {
         return invalid(m_declarations.revision(), "the snapshot can't be read: give a file that 'snapshot save' wrote");
     }
     for (const v1::HistoryEntry &entry : m_history) {
-        const auto first = saved.m_history.empty() ? entry.revision() + 1 : saved.m_history.front().revision();
-        if (entry.revision() < first || entry.revision() - first >= saved.m_history.size()) {
+        const auto first = source.m_history.empty() ? entry.revision() + 1 : source.m_history.front().revision();
+        if (entry.revision() < first || entry.revision() - first >= source.m_history.size()) {
             continue;
         }
-        const v1::HistoryEntry &other = saved.m_history[entry.revision() - first];
+        const v1::HistoryEntry &other = source.m_history[entry.revision() - first];
         if (other.revision() == entry.revision() && other.command_id() != entry.command_id()) {
             return invalid(m_declarations.revision(),
                            "the snapshot is of another history: its revision " + std::to_string(entry.revision())
                                + " was made by another command. Restore it into a new system, or apply the declarations from version control");
         }
     }
-    const std::vector<Change> changes = m_declarations.changesTo(saved.m_declarations);
+    const std::vector<Change> changes = m_declarations.changesTo(source.m_declarations);
     if (changes.empty()) {
-        v1::CommandReply reply = accepted();
+        v1::CommandReply reply = acceptedReply();
         reply.set_message("nothing to change");
         return reply;
     }
-    if (const std::optional<Error> broken = brokenMoveRule(m_moves, saved.m_declarations)) {
-        return invalid(m_declarations.revision(), broken->message);
+    if (const std::optional<Error> violation = brokenMoveRule(m_moves, source.m_declarations)) {
+        return invalid(m_declarations.revision(), violation->message);
     }
     const bool isNew = m_declarations.revision() == Revision{0};
-    const Revision next{std::max(m_declarations.revision().value, saved.m_declarations.revision().value) + 1};
-    m_declarations = Declarations::restored(next, Declarations().changesTo(saved.m_declarations));
-    m_version = std::max(m_version, saved.m_version);
-    for (const auto &[name, cell] : saved.m_cells) {
-        // Upstreams may remember the epochs of before: the next one must be higher than any of them.
-        v1::CellAssignment &held = m_cells[name];
-        held.set_cell(name);
-        held.set_epoch(std::max(held.epoch(), cell.epoch()));
+    const Revision next{std::max(m_declarations.revision().value, source.m_declarations.revision().value) + 1};
+    m_declarations = Declarations::restored(next, Declarations().changesTo(source.m_declarations));
+    m_version = std::max(m_version, source.m_version);
+    for (const auto &[name, sourceCell] : source.m_cells) {
+        // Upstreams may remember earlier epochs: the next one must be higher than all of them.
+        v1::CellAssignment &cell = m_cells[name];
+        cell.set_cell(name);
+        cell.set_epoch(std::max(cell.epoch(), sourceCell.epoch()));
     }
     if (isNew) {
-        m_history = saved.m_history;
-        m_moves = saved.m_moves;
-        for (const std::string &id : saved.m_answerOrder) {
-            remember(id, saved.m_answers.at(id));
+        m_history = source.m_history;
+        m_moves = source.m_moves;
+        for (const std::string &id : source.m_savedAnswerOrder) {
+            saveAnswer(id, source.m_savedAnswers.at(id));
         }
     }
     google::protobuf::RepeatedPtrField<v1::Change> wire;
@@ -267,7 +267,7 @@
         *wire.Add() = toWire(change);
     }
     addHistory(command, "snapshot restore", wire);
-    return accepted();
+    return acceptedReply();
 }
 
 std::vector<v1::HistoryEntry> StateMachine::historyAfter(Revision revision) const
@@ -276,10 +276,10 @@
     return {std::upper_bound(m_history.begin(), m_history.end(), revision.value, isLater), m_history.end()};
 }
 
-const v1::ProposeReply *StateMachine::answerTo(const std::string &commandId) const
+const v1::ProposeReply *StateMachine::savedAnswer(const std::string &commandId) const
 {
-    const auto known = m_answers.find(commandId);
-    return known == m_answers.end() ? nullptr : &known->second;
+    const auto known = m_savedAnswers.find(commandId);
+    return known == m_savedAnswers.end() ? nullptr : &known->second;
 }
 
 std::string StateMachine::snapshot() const
@@ -297,10 +297,10 @@
     }
     snapshot.set_version(m_version);
     *snapshot.mutable_burn() = toWire(m_burn);
-    for (const std::string &id : m_answerOrder) {
+    for (const std::string &id : m_savedAnswerOrder) {
         v1::Answered &answered = *snapshot.add_answers();
         answered.set_command_id(id);
-        *answered.mutable_reply() = m_answers.at(id);
+        *answered.mutable_reply() = m_savedAnswers.at(id);
     }
     m_claims.save(snapshot);
     *snapshot.mutable_routes() = m_routes;
@@ -339,7 +339,7 @@
     m_burn = fromWire(snapshot.burn());
     m_history.assign(snapshot.history().begin(), snapshot.history().end());
     for (const v1::Answered &answered : snapshot.answers()) {
-        remember(answered.command_id(), answered.reply());
+        saveAnswer(answered.command_id(), answered.reply());
     }
     return Done{};
 }
--- a/tests/control/claimstest.cpp
+++ b/tests/control/claimstest.cpp
@@ -44,7 +44,7 @@
 
 }
 
-TEST_CASE("one sending of a key may run; others join it, then get its answer, and another payload is refused")
+TEST_CASE("one attempt of a key may run, others get its holder and then its answer, and another payload is refused")
 {
     Claims claims;
     CHECK(claims.claim(request("k", "a"), at(1)).outcome() == v1::ClaimReply::CLAIMED);
@@ -62,21 +62,21 @@
     CHECK(ended.answer().body() == "paid");
 }
 
-TEST_CASE("a claim that did not run may be claimed again, but not by the sending that gave it up")
+TEST_CASE("a claim that ended as not run may be claimed by another attempt but not by the same one")
 {
     Claims claims;
     claims.claim(request("k", "a"), at(1));
     claims.end(ending("k", "a", v1::ClaimEnd::NOT_RUN), at(2));
     CHECK(claims.claim(request("k", "a"), at(3)).outcome() == v1::ClaimReply::NOT_RUN);
     CHECK(claims.claim(request("k", "b"), at(3)).outcome() == v1::ClaimReply::CLAIMED);
-    // The late duplicate of the end must not free the claim of the other sending.
+    // A late duplicate of the end must not release the claim of the other attempt.
     claims.end(ending("k", "a", v1::ClaimEnd::NOT_RUN), at(4));
     CHECK(claims.claim(request("k", "c"), at(4)).outcome() == v1::ClaimReply::HELD);
 }
 
-// The caller was answered because the claim was not decided in time; the claim reaches the log after its own end. Nobody would dispatch
-// it, so if it took hold then, the key would be blocked for ever.
-TEST_CASE("an end that overtakes its claim forbids it")
+// The end of a request can reach the log before its claim, if the claim was not decided before the caller was answered. No VM would dispatch the
+// request, so the claim must not take effect: the key would be blocked for ever.
+TEST_CASE("an end that arrives before its claim forbids the claim")
 {
     Claims claims;
     claims.end(ending("k", "a", v1::ClaimEnd::NOT_RUN), at(1));
@@ -84,7 +84,7 @@
     CHECK(claims.claim(request("k", "b"), at(2)).outcome() == v1::ClaimReply::CLAIMED);
 }
 
-TEST_CASE("only ended claims are forgotten, after the declared time, and a clock that goes back forgets nothing early")
+TEST_CASE("only ended claims expire, after the declared time, also if the clock goes back")
 {
     Claims claims;
     claims.claim(request("held", "a"), at(1));
@@ -97,7 +97,7 @@
     CHECK(claims.bytes() == 0);
 }
 
-TEST_CASE("claims are bounded in count and bytes without forgetting any")
+TEST_CASE("claims are bounded in count and bytes, and none is dropped to make room")
 {
     Claims claims(ClaimLimits{.maxClaims = 2, .maxBytes = 10, .maxAnswerBytes = 8});
     claims.claim(request("1", "a"), at(1));
@@ -110,7 +110,7 @@
     CHECK(claims.claim(request("2", "d"), at(3)).outcome() == v1::ClaimReply::OUTCOME_LOST);
 }
 
-TEST_CASE("an answer may follow a loss, and a snapshot carries all of it")
+TEST_CASE("an answer replaces a lost outcome, and a snapshot restores all claims")
 {
     Claims claims;
     claims.claim(request("k", "a"), at(1));
@@ -130,9 +130,8 @@
     CHECK(restored.claim(request("early", "e"), at(4)).outcome() == v1::ClaimReply::NOT_RUN);
 }
 
-// Whatever the order of claims, repeated claims and ends from many sendings, two different sendings are told "claimed" only if the first
-// of them said in between that it did not run.
-TEST_CASE("in any order no key is given to two sendings that may both run")
+// In any order of claims, repeated claims and ends of many attempts, a second attempt may get CLAIMED only after the first one ended as NOT_RUN.
+TEST_CASE("in any order of commands at most one attempt of a key may run")
 {
     for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
         INFO("seed " << seed);
--- a/tests/control/routehistorytest.cpp
+++ b/tests/control/routehistorytest.cpp
@@ -17,7 +17,7 @@
     return std::make_shared<const v1::RouteTable>(table);
 }
 
-/// Keys of organisations too, and a split over services.
+/// Returns a table that also has an organisation with a key.
 v1::RouteTable tableWithOrganisation(std::uint64_t version, int routes, const std::string &key)
 {
     v1::RouteTable table = routeTable(version, routes);
@@ -49,7 +49,7 @@
 
 }
 
-TEST_CASE("a change turns one table into another, whatever was added, replaced or removed")
+TEST_CASE("a change with added, replaced and removed items turns one table into the other")
 {
     const v1::RouteTable before = tableWithOrganisation(1, 20, "old");
     v1::RouteTable after = tableWithOrganisation(5, 25, "new");
@@ -57,63 +57,63 @@
     after.mutable_routes(0)->set_timeout_ms(1);
     after.add_services()->set_name("printing");
     for (const auto &[from, to] : {std::pair(before, after), std::pair(after, before)}) {
-        const auto change = changeBetween(from, to);
+        const auto change = diffRouteTables(from, to);
         REQUIRE(change);
-        CHECK(sorted(valueOf(withChange(from, *change))) == sorted(to));
+        CHECK(sorted(valueOf(applyRouteTableChange(from, *change))) == sorted(to));
     }
 }
 
-// Guards against routes that are mixed from two tables, when a change reaches a VM that holds another one.
-TEST_CASE("a change is refused on a table that it was not made for")
+// Guards against routes mixed from two tables when a change reaches a VM with another table.
+TEST_CASE("a change is refused for another table than the one it was made for")
 {
-    const auto change = changeBetween(routeTable(1, 20), routeTable(2, 21));
+    const auto change = diffRouteTables(routeTable(1, 20), routeTable(2, 21));
     v1::RouteTable other = routeTable(1, 20);
     other.mutable_routes(4)->set_timeout_ms(1);
-    CHECK_FALSE(ok(withChange(other, *change)));
+    CHECK_FALSE(ok(applyRouteTableChange(other, *change)));
 }
 
-TEST_CASE("tables that name something twice have no change between them")
+TEST_CASE("tables with duplicate keys have no change between them")
 {
     v1::RouteTable twice = routeTable(2, 3);
     twice.add_services()->set_name("drafting");
-    CHECK_FALSE(changeBetween(routeTable(1, 3), twice));
-    CHECK_FALSE(changeBetween(twice, routeTable(1, 3)));
+    CHECK_FALSE(diffRouteTables(routeTable(1, 3), twice));
+    CHECK_FALSE(diffRouteTables(twice, routeTable(1, 3)));
 }
 
-// Guards against an update that costs each VM the whole table however small the change is.
-TEST_CASE("a VM gets the changes since the version it holds, or the whole table when that is smaller or nothing else is known")
+// Guards against updates that send each VM the whole table for a small change.
+TEST_CASE("an update has the changes since a version, or the whole table if that is smaller or the changes are not kept")
 {
     RouteHistory history;
     history.publish(shared(routeTable(1, 1'000)), {});
     history.publish(shared(routeTable(4, 1'001)), {});
     history.publish(shared(routeTable(9, 1'002)), {});
-    CHECK(history.since(4).changes_size() == 1);
-    CHECK(history.since(1).changes_size() == 2);
-    CHECK(history.since(1).ByteSizeLong() < 1'000);
-    CHECK(history.since(2).changes_size() == 0);
+    CHECK(history.updateSince(4).changes_size() == 1);
+    CHECK(history.updateSince(1).changes_size() == 2);
+    CHECK(history.updateSince(1).ByteSizeLong() < 1'000);
+    CHECK(history.updateSince(2).changes_size() == 0);
     for (const std::uint64_t held : {1, 4}) {
-        const auto updated = applyRoutesUpdate(shared(routeTable(held, held == 1 ? 1'000 : 1'001)), history.since(held));
+        const auto updated = applyRoutesUpdate(shared(routeTable(held, held == 1 ? 1'000 : 1'001)), history.updateSince(held));
         CHECK(sorted(*valueOf(updated)) == sorted(routeTable(9, 1'002)));
     }
-    CHECK(sorted(*valueOf(applyRoutesUpdate(nullptr, history.since(0)))) == sorted(routeTable(9, 1'002)));
+    CHECK(sorted(*valueOf(applyRoutesUpdate(nullptr, history.updateSince(0)))) == sorted(routeTable(9, 1'002)));
     history.publish(shared(routeTable(10, 1)), {});
-    CHECK(history.since(9).changes_size() == 0);
-    CHECK_FALSE(history.since(9).packed_table().empty());
+    CHECK(history.updateSince(9).changes_size() == 0);
+    CHECK_FALSE(history.updateSince(9).packed_table().empty());
 }
 
-TEST_CASE("an update that starts before what a VM holds is taken, one that starts after it is not")
+TEST_CASE("an update that starts before the current version is applied and one that starts after it is refused")
 {
     RouteHistory history;
     history.publish(shared(routeTable(1, 1'000)), {});
     history.publish(shared(routeTable(2, 1'001)), {});
     history.publish(shared(routeTable(3, 1'002)), {});
-    CHECK(ok(applyRoutesUpdate(shared(routeTable(2, 1'001)), history.since(1))));
-    CHECK_FALSE(ok(applyRoutesUpdate(shared(routeTable(1, 1'000)), history.since(2))));
-    CHECK_FALSE(ok(applyRoutesUpdate(nullptr, history.since(2))));
+    CHECK(ok(applyRoutesUpdate(shared(routeTable(2, 1'001)), history.updateSince(1))));
+    CHECK_FALSE(ok(applyRoutesUpdate(shared(routeTable(1, 1'000)), history.updateSince(2))));
+    CHECK_FALSE(ok(applyRoutesUpdate(nullptr, history.updateSince(2))));
 }
 
-// Guards against a VM that asks for the same changes for ever, when what it holds is not what the leader takes it for.
-TEST_CASE("a VM whose routes don't add up with the changes sent for them asks for the whole table")
+// Guards against a VM that requests the same changes for ever because its table differs from the one that the leader assumes.
+TEST_CASE("a VM whose routes do not fit the changes requests the whole table")
 {
     StateMachine state;
     const auto publish = [&state](const v1::RouteTable &table) {
@@ -141,7 +141,7 @@
     CHECK(follower.makeHeartbeat(TimePoint{}).routes_version() == 2);
 }
 
-TEST_CASE("a publication that can't be unpacked is refused by the state machine, and a snapshot brings the last good one back")
+TEST_CASE("a publication that can't be unpacked is refused, and a snapshot restores the last valid one")
 {
     StateMachine state;
     v1::Command good;
@@ -158,8 +158,8 @@
     CHECK(restored.routes().packed_document() == state.routes().packed_document());
 }
 
-// Guards against an operator who can't read back what was confirmed before an upgrade.
-TEST_CASE("a publication in the log of an earlier version of the program is in force, and is read back")
+// Guards against an operator who can't read back a table that was confirmed before an upgrade.
+TEST_CASE("a publication logged by an earlier version of the program is put in force and can be read back")
 {
     StateMachine state;
     v1::Command command;
--- a/tests/control/statemachinetest.cpp
+++ b/tests/control/statemachinetest.cpp
@@ -50,8 +50,8 @@
 
 }
 
-// Two operators change declarations under one revision. One wins; the other is told so, and is shown what won, not just that it lost.
-TEST_CASE("of two commands under one revision one wins and the other sees it")
+// Of two operators who change declarations under one revision the first wins; the other one must get the winning change, not only a conflict.
+TEST_CASE("of two commands under one revision the first wins and the second is answered with the winner")
 {
     StateMachine state = office();
     CHECK(outcomeOf(state, applyCommand("ade", 1, {organisationChange(1)})) == v1::CommandReply::ACCEPTED);
@@ -62,9 +62,9 @@
     CHECK(state.declarations().organisations().size() == 1);
 }
 
-// An operator's answer is lost and the command is sent again, after other changes, a snapshot and a restart from it. The first answer
-// comes again and nothing changes, whether the first answer was good or bad.
-TEST_CASE("a resend gets the first answer, also after a snapshot")
+// After a lost answer a command is resent, following other changes, a snapshot and a restart from it. It must get its first answer, whether accepted
+// or refused, and change nothing.
+TEST_CASE("a resend gets the first answer, also after a restart from a snapshot")
 {
     StateMachine state = office();
     const v1::Command accepted = applyCommand("ade", 1, {organisationChange(1)});
@@ -78,9 +78,9 @@
     CHECK(restarted.snapshot() == state.snapshot());
 }
 
-// An operator restores an old snapshot after newer changes. The old declarations come back as a new revision on top: VMs, which only go
-// forward, take it, and a resend of a later command still gets its first answer.
-TEST_CASE("a restored snapshot is a new revision, never an old one")
+// Restoring an old snapshot after newer changes must put its declarations in force as a new revision, since VMs never go back to an older one; a
+// resend of a later command still gets its first answer.
+TEST_CASE("a restored snapshot becomes a new revision")
 {
     StateMachine state = office();
     const std::string saved = state.snapshot();
@@ -96,9 +96,9 @@
     CHECK(state.historyAfter(Revision{0}).size() == 3);
 }
 
-// Every replica's disk is lost, and the operator restores a snapshot into a new, empty system. Revisions and epochs go on from the
-// snapshot's, since VMs and upstreams may remember higher ones than an empty system would give.
-TEST_CASE("a snapshot restored into a new system goes on from its revision and epochs")
+// After the loss of every replica's disk a snapshot is restored into a new, empty system. Revisions and epochs must continue from the snapshot's,
+// since VMs and upstreams may remember higher ones than an empty system would assign.
+TEST_CASE("a system restored from a snapshot continues its revisions and epochs")
 {
     StateMachine old = office();
     v1::Command assign;
@@ -116,8 +116,7 @@
     CHECK(state.declarations().changesTo(old.declarations()).empty());
 }
 
-// The operator mixes up two systems and restores a snapshot of the one into the other. It is refused with the remedy: revisions of the
-// same number mean different things in the two.
+// A snapshot of another system must be refused with the remedy: equal revision numbers mean different changes in the two systems.
 TEST_CASE("a snapshot of another history is refused")
 {
     StateMachine state = office();
@@ -130,7 +129,7 @@
     CHECK(state.declarations().revision() == Revision{1});
 }
 
-// Two leaders in turn assign a cell's next epoch to different VMs. Only the first in the log counts.
+// Two successive leaders may assign the next epoch of a cell to different VMs; only the first assignment in the log may take effect.
 TEST_CASE("an epoch of a cell has one holder")
 {
     StateMachine state = office();
