--- a/src/control/controltask.cpp
+++ b/src/control/controltask.cpp
@@ -103,7 +103,7 @@
                        .metrics = m_options.metrics,
                    },
                    m_state)
-    , m_orders(m_loop, {}, randomIncarnation())
+    , m_orderRunner(m_loop, {}, randomIncarnation())
     , m_leaderSearch(leaderCandidates(m_options))
     , m_forwarder({}, randomIncarnation())
     , m_follower(FollowerOptions{
@@ -170,7 +170,7 @@
         followLeadership(now);
     }
     if (hasQuorum(now)) {
-        m_orders.tick(now);
+        m_orderRunner.tick(now);
     }
     for (const v1::CellAssignment &assignment : m_leadership.tick(now)) {
         v1::Command command;
@@ -328,12 +328,12 @@
     }
     for (const v1::MoveVerdict &verdict : m_moveLeader.advance(m_state, EventLoop::wallNow())) {
         v1::Command command;
-        command.set_command_id(commandIdOf(verdict, m_state));
+        command.set_command_id(commandIdFor(verdict, m_state));
         *command.mutable_move_verdict() = verdict;
         propose(std::move(command), [](const Result<v1::ProposeReply> &) {});
     }
     proposeRolloutVerdicts();
-    if (std::optional<v1::BurnBucket> burn = m_moveLeader.burnDue(EventLoop::wallNow())) {
+    if (std::optional<v1::BurnBucket> burn = m_moveLeader.takeDueBurnBucket(EventLoop::wallNow())) {
         v1::Command command;
         *command.mutable_record_burn() = std::move(*burn);
         propose(std::move(command), [](const Result<v1::ProposeReply> &) {});
@@ -362,7 +362,7 @@
 void ControlTask::takeOutcomes(const VmName &from, v1::Envelope &envelope)
 {
     if (m_leadership.isLeading()) {
-        m_moveLeader.take(envelope.outcome_report());
+        m_moveLeader.recordOutcomes(envelope.outcome_report());
     } else if (from == m_options.vm && m_leaderSearch.leader() != m_options.vm) {
         m_options.send(m_leaderSearch.leader(), std::move(envelope));
     }
--- a/src/control/controltask.h
+++ b/src/control/controltask.h
@@ -234,7 +234,7 @@
     MoveLeader m_moveLeader;
     TimePoint m_nextLook{};
     raft::Term m_ledTerm = 0;
-    OrderRunner m_orders;
+    OrderRunner m_orderRunner;
     LeaderSearch m_leaderSearch;
     Forwarder m_forwarder;
     Follower m_follower;
--- a/src/control/controltaskleader.cpp
+++ b/src/control/controltaskleader.cpp
@@ -87,7 +87,7 @@
         const Revision before = m_state.declarations().revision();
         reply = m_state.apply(command);
         if (m_leadership.isLeading() && m_state.declarations().revision() != before) {
-            m_orders.declared(m_state.declarations());
+            m_orderRunner.setDeclarations(m_state.declarations());
             logChange("control", "revision-accepted", {{"revision", std::to_string(m_state.declarations().revision().value)}});
         }
     }
@@ -109,14 +109,14 @@
 {
     if (m_leadership.isLeading() && (!m_log->isLeader() || m_log->term() != m_ledTerm)) {
         m_leadership.stopLeading();
-        m_orders.stopLeading();
+        m_orderRunner.stopLeading();
         m_pendingProposals.discardAll();
     }
     if (!m_leadership.isLeading() && m_log->isLeader() && m_log->hasReadableState(now)) {
         m_ledTerm = m_log->term();
         m_leadership.startLeading(now);
-        m_orders.declared(m_state.declarations());
-        m_orders.lead(Epoch{m_ledTerm}, now + LeaseOptions{}.maxLength());
+        m_orderRunner.setDeclarations(m_state.declarations());
+        m_orderRunner.startLeading(Epoch{m_ledTerm}, now + LeaseOptions{}.maxLength());
     }
     answerWaitingBeats(now);
 }
--- a/src/control/movecommands.cpp
+++ b/src/control/movecommands.cpp
@@ -23,7 +23,7 @@
     return v1::MOVE_STATE_UNSPECIFIED;
 }
 
-/// A state that this version does not know counts as aborted: the old version keeps the traffic.
+/// A state that this version of the program does not know counts as aborted: the old version keeps the traffic.
 MoveState fromWire(v1::MoveState state)
 {
     switch (state) {
@@ -143,19 +143,19 @@
 {
     const auto found = moves.find(verdict.move());
     if (found == moves.end()) {
-        return {.reply = invalid(declarations, "no move '" + verdict.move() + "': a newer one took its place"), .declared = {}};
+        return {.reply = invalid(declarations, "no move '" + verdict.move() + "': a newer one took its place"), .newDeclaration = {}};
     }
     Move move = fromWire(found->second);
     const Result<Done> decided = move.decide(fromWire(verdict.state()), Permille{verdict.share_permille()}, verdict.reason(), now);
     if (!ok(decided)) {
-        return {.reply = invalid(declarations, errorOf(decided).message), .declared = {}};
+        return {.reply = invalid(declarations, errorOf(decided).message), .newDeclaration = {}};
     }
     found->second = toWire(move);
-    AppliedVerdict applied{.reply = replyWith(declarations, v1::CommandReply::ACCEPTED, ""), .declared = {}};
+    AppliedVerdict applied{.reply = replyWith(declarations, v1::CommandReply::ACCEPTED, ""), .newDeclaration = {}};
     const Service *service = declarations.service(move.service);
     if (move.state == MoveState::Done && service) {
-        applied.declared = *service;
-        applied.declared->version = move.to;
+        applied.newDeclaration = *service;
+        applied.newDeclaration->version = move.to;
     }
     return applied;
 }
@@ -163,8 +163,8 @@
 std::optional<Error> brokenMoveRule(const MoveMap &moves, const Declarations &declarations)
 {
     for (const auto &[name, wire] : moves) {
-        if (std::optional<Error> broken = brokenMoveRule(fromWire(wire), declarations)) {
-            return broken;
+        if (std::optional<Error> violation = brokenMoveRule(fromWire(wire), declarations)) {
+            return violation;
         }
     }
     return {};
--- a/src/control/movecommands.h
+++ b/src/control/movecommands.h
@@ -7,7 +7,7 @@
 #include <map>
 #include <string>
 
-/// The commands of the replicated log that concern moves. Deterministic; the time is the command's own.
+/// The commands of the replicated log that concern moves. Deterministic: the time is that of the command.
 namespace cumindyke
 {
 
@@ -20,20 +20,20 @@
 
 std::vector<Move> fromWire(const MoveMap &moves);
 
-/// Starts a move. A closed move of the same service is dropped; an open one refuses the new one (INVALID).
+/// Starts a move. A closed move of the same service is removed; if one is open, the new move is refused (INVALID).
 v1::CommandReply startMove(MoveMap &moves, const Declarations &declarations, const v1::StartMoveRequest &request, WallTime now);
 v1::CommandReply abortMove(MoveMap &moves, const Declarations &declarations, const v1::AbortMoveRequest &request, WallTime now);
 
-/// The leader's verdict, applied.
+/// The result of applying a verdict of the leader.
 struct AppliedVerdict
 {
     v1::CommandReply reply;
-    /// What the declarations must change to: set when the move is done and its new version becomes the declared one.
-    std::optional<Service> declared;
+    /// The service with its new declared version; set when the move is done.
+    std::optional<Service> newDeclaration;
 };
 AppliedVerdict applyVerdict(MoveMap &moves, const Declarations &declarations, const v1::MoveVerdict &verdict, WallTime now);
 
-/// Why declarations can't come into force while the moves are open, or nothing.
+/// Returns the rule that declarations would break while the moves are open; no value if they break none.
 std::optional<Error> brokenMoveRule(const MoveMap &moves, const Declarations &declarations);
 
 }
--- a/src/control/moveleader.cpp
+++ b/src/control/moveleader.cpp
@@ -26,7 +26,7 @@
 
 }
 
-void MoveLeader::take(const v1::OutcomeReport &report)
+void MoveLeader::recordOutcomes(const v1::OutcomeReport &report)
 {
     m_collector.take(VmName{report.vm()}, report.incarnation(), report.sequence(), fromWire(report));
 }
@@ -35,7 +35,7 @@
 {
     const OutcomeMap growth = m_collector.takeGrowth();
     for (const auto &[of, counts] : aggregateBurnCounts(growth, state.declarations())) {
-        m_minute[of] += counts;
+        m_minuteCounts[of] += counts;
     }
     std::erase_if(m_ramps, [&state](const auto &entry) { return !state.moves().contains(entry.first); });
     std::vector<v1::MoveVerdict> verdicts;
@@ -56,17 +56,17 @@
     return verdicts;
 }
 
-std::optional<v1::BurnBucket> MoveLeader::burnDue(WallTime now)
+std::optional<v1::BurnBucket> MoveLeader::takeDueBurnBucket(WallTime now)
 {
-    if (now < m_minuteEnds) {
+    if (now < m_minuteEnd) {
         return {};
     }
-    const bool isFirst = m_minuteEnds == WallTime{};
-    m_minuteEnds = WallTime{now.value - now.value % MinuteMs + MinuteMs};
-    if (isFirst || m_minute.empty()) {
+    const bool isFirst = m_minuteEnd == WallTime{};
+    m_minuteEnd = WallTime{now.value - now.value % MinuteMs + MinuteMs};
+    if (isFirst || m_minuteCounts.empty()) {
         return {};
     }
-    return cumindyke::toWire(BurnBucket{.start = now, .counts = std::exchange(m_minute, {})});
+    return cumindyke::toWire(BurnBucket{.start = now, .counts = std::exchange(m_minuteCounts, {})});
 }
 
 void MoveLeader::reset()
@@ -74,7 +74,7 @@
     *this = MoveLeader();
 }
 
-std::string commandIdOf(const v1::MoveVerdict &verdict, const StateMachine &state)
+std::string commandIdFor(const v1::MoveVerdict &verdict, const StateMachine &state)
 {
     const auto move = state.moves().find(verdict.move());
     const std::string from = move == state.moves().end() ? "" : std::to_string(move->second.state()) + "/" + std::to_string(move->second.share_permille());
--- a/src/control/moveleader.h
+++ b/src/control/moveleader.h
@@ -10,30 +10,30 @@
 namespace cumindyke
 {
 
-/// The leader's part in version moves: it collects the outcomes of all VMs and decides on each open move.
+/// The leader's side of version moves: collects the outcomes of all VMs and decides on each open move.
 ///
-/// What it holds is evidence only. When the leader dies, the next one begins with the log's state and share and gathers evidence anew,
-/// so that a change of leaders may delay a share or an end, and never repeats or skips one.
+/// Its state is evidence only. A new leader starts from the state and share in the log and collects evidence anew, so that a leader change may delay
+/// a share or an end but never repeats or skips one.
 class MoveLeader
 {
 public:
-    void take(const v1::OutcomeReport &report);
-    /// The verdicts to propose now. Call it every EvaluationIntervalMs while leading.
+    void recordOutcomes(const v1::OutcomeReport &report);
+    /// Returns the verdicts to propose now. To be called every EvaluationIntervalMs while leading.
     std::vector<v1::MoveVerdict> advance(const StateMachine &state, WallTime now);
-    /// This VM no longer leads, or leads anew: evidence from before is of no use.
+    /// Drops all evidence when this VM stops or restarts leading.
     void reset();
-    /// Once a minute: what the burn report is made from, to be proposed. What a leader counted in its last minute is lost with it.
-    std::optional<v1::BurnBucket> burnDue(WallTime now);
+    /// Returns once a minute the counts for the burn report, to be proposed. The counts of a leader's last minute are lost with it.
+    std::optional<v1::BurnBucket> takeDueBurnBucket(WallTime now);
 
 private:
     OutcomeCollector m_collector;
-    BurnCountMap m_minute;
-    WallTime m_minuteEnds;
+    BurnCountMap m_minuteCounts;
+    WallTime m_minuteEnd;
     std::map<std::string, MoveRamp> m_ramps;
 };
 
-/// The id of the command that carries a verdict: the same decision on the same state has the same id, so that a repeat while the first is
-/// on its way changes nothing.
-std::string commandIdOf(const v1::MoveVerdict &verdict, const StateMachine &state);
+/// Returns the id of the command that carries a verdict. The same decision on the same state has the same id, so that a repeat while the first
+/// command is pending changes nothing.
+std::string commandIdFor(const v1::MoveVerdict &verdict, const StateMachine &state);
 
 }
--- a/src/control/orderrunner.cpp
+++ b/src/control/orderrunner.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-/// Together shorter than the longest order of OrderOptions: after that, nothing of a call may still be on its way from here.
-constexpr ProgressTimeouts Timeouts{
+/// Their sum is shorter than OrderOptions::orderTimeout: after that time no data of a call may still be in flight from this VM.
+constexpr ProgressTimeouts CallTimeouts{
     .connect = std::chrono::seconds(1),
     .firstByte = std::chrono::seconds(2),
     .betweenBytes = std::chrono::seconds(1),
@@ -60,24 +60,24 @@
 
 OrderRunner::OrderRunner(EventLoop &loop, OrderOptions options, std::uint64_t seed)
     : m_loop(loop)
-    , m_book(options, seed)
+    , m_orderBook(options, seed)
 {
 }
 
 OrderRunner::~OrderRunner() = default;
 
-void OrderRunner::lead(Epoch epoch, TimePoint formerLeaderUntil)
+void OrderRunner::startLeading(Epoch epoch, TimePoint formerLeaderUntil)
 {
-    m_book.lead(epoch, formerLeaderUntil);
+    m_orderBook.startLeading(epoch, formerLeaderUntil);
 }
 
 void OrderRunner::stopLeading()
 {
-    m_book.stopLeading();
+    m_orderBook.stopLeading();
     m_calls.clear();
 }
 
-void OrderRunner::declared(const Declarations &declarations)
+void OrderRunner::setDeclarations(const Declarations &declarations)
 {
     std::vector<Order> orders;
     m_addresses.clear();
@@ -89,23 +89,23 @@
         m_addresses[name] = upstream.address;
         orders.push_back(Order{.upstream = name, .kind = OrderKind::LoadVersion, .argument = upstream.version.value});
     }
-    m_book.want(orders);
+    m_orderBook.setOrders(orders);
 }
 
 void OrderRunner::tick(TimePoint now)
 {
     m_endedCalls.clear();
-    for (const OrderStep &step : m_book.due(now)) {
-        start(step);
+    for (const OrderStep &step : m_orderBook.dueSteps(now)) {
+        startCall(step);
     }
 }
 
-void OrderRunner::start(const OrderStep &step)
+void OrderRunner::startCall(const OrderStep &step)
 {
     const std::uint64_t number = m_nextCall++;
     Call &call = m_calls[number];
     call.step = step;
-    call.call = std::make_unique<UpstreamCall>(m_loop, requestFor(step, m_addresses[step.order.upstream]), Timeouts);
+    call.call = std::make_unique<UpstreamCall>(m_loop, requestFor(step, m_addresses[step.order.upstream]), CallTimeouts);
     if (step.action == OrderStep::Action::Send) {
         logChange("control", "order-given", {{"upstream", step.order.upstream.value}, {"version", step.order.argument}});
     }
@@ -115,12 +115,12 @@
             call.body += bytes;
         }
     });
-    call.call->finished().connect([this, number] { ended(number, true); });
-    call.call->failed().connect([this, number](CallFailure /*failure*/) { ended(number, false); });
+    call.call->finished().connect([this, number] { onCallEnded(number, true); });
+    call.call->failed().connect([this, number](CallFailure /*failure*/) { onCallEnded(number, false); });
     call.call->start();
 }
 
-void OrderRunner::ended(std::uint64_t number, bool whole)
+void OrderRunner::onCallEnded(std::uint64_t number, bool complete)
 {
     auto found = m_calls.extract(number);
     if (found.empty()) {
@@ -130,23 +130,23 @@
     const Call &call = m_endedCalls.back();
     const TimePoint now = EventLoop::now();
     const UpstreamName &upstream = call.step.order.upstream;
-    const bool good = whole && call.status >= 200 && call.status < 300;
+    const bool succeeded = complete && call.status >= 200 && call.status < 300;
     if (call.step.action == OrderStep::Action::Send) {
-        if (whole && call.status == StatusConflict) {
+        if (complete && call.status == StatusConflict) {
             logWarning("control", "order-epoch-refused", {{"upstream", upstream.value}});
-            m_book.refusedEpoch();
-        } else if (good) {
-            m_book.sent(upstream, now);
+            m_orderBook.handleEpochRefused();
+        } else if (succeeded) {
+            m_orderBook.handleAccepted(upstream, now);
         } else {
-            m_book.failed(upstream, now);
+            m_orderBook.handleFailure(upstream, now);
         }
         return;
     }
-    const std::optional<LoadedState> state = good ? parseLoadedState(call.body) : std::nullopt;
+    const std::optional<LoadedState> state = succeeded ? parseLoadedState(call.body) : std::nullopt;
     if (state) {
-        m_book.state(upstream, *state, now);
+        m_orderBook.handleState(upstream, *state, now);
     } else {
-        m_book.failed(upstream, now);
+        m_orderBook.handleFailure(upstream, now);
     }
 }
 
--- a/src/control/orderrunner.h
+++ b/src/control/orderrunner.h
@@ -11,8 +11,8 @@
 namespace cumindyke
 {
 
-/// Carries out the order book's steps over HTTP, in the loop of the task that owns it: GET /load asks an upstream what it has,
-/// POST /orders gives it an order. What each model upstream is declared to have is what it is ordered to load.
+/// Executes the steps of the order book over HTTP in the event loop of the owning task: GET /load queries an upstream's state, POST /orders sends it
+/// an order. Each model upstream is ordered to load its declared version.
 class OrderRunner
 {
 public:
@@ -21,10 +21,10 @@
     OrderRunner(const OrderRunner &) = delete;
     OrderRunner &operator=(const OrderRunner &) = delete;
 
-    void lead(Epoch epoch, TimePoint formerLeaderUntil);
+    void startLeading(Epoch epoch, TimePoint formerLeaderUntil);
     void stopLeading();
-    void declared(const Declarations &declarations);
-    /// Call often, while this VM can prove that it leads.
+    void setDeclarations(const Declarations &declarations);
+    /// To be called often while this VM can prove that it leads.
     void tick(TimePoint now);
 
 private:
@@ -36,19 +36,19 @@
         std::string body;
     };
 
-    void start(const OrderStep &step);
-    void ended(std::uint64_t number, bool whole);
+    void startCall(const OrderStep &step);
+    void onCallEnded(std::uint64_t number, bool complete);
 
     EventLoop &m_loop;
-    OrderBook m_book;
+    OrderBook m_orderBook;
     std::map<UpstreamName, Address> m_addresses;
     std::uint64_t m_nextCall = 0;
     std::map<std::uint64_t, Call> m_calls;
-    /// Ended calls, whose signals may still be under way; freed by the next tick.
+    /// Ended calls whose signals may still be running; freed by the next tick.
     std::vector<Call> m_endedCalls;
 };
 
-/// What GET /load says: {"version": …, "loading": …}. Nothing, when it names no version: such an upstream is given no orders.
+/// Parses the answer to GET /load: {"version": …, "loading": …}. Returns no value if it names no version; such an upstream gets no orders.
 std::optional<LoadedState> parseLoadedState(const std::string &json);
 
 }
--- a/src/control/orders.cpp
+++ b/src/control/orders.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/// Between two looks at a load that is under way.
-constexpr Duration LookInterval = std::chrono::seconds(1);
+/// Time between two queries of an upstream that is loading.
+constexpr Duration LoadPollInterval = std::chrono::seconds(1);
 
 }
 
@@ -26,12 +26,12 @@
     return "load-version";
 }
 
-void OrderBook::lead(Epoch epoch, TimePoint formerLeaderUntil)
+void OrderBook::startLeading(Epoch epoch, TimePoint formerLeaderUntil)
 {
-    m_leads = true;
+    m_isLeading = true;
     m_epoch = epoch;
-    m_formerUntil = formerLeaderUntil;
-    // The weight store may still feed what a former leader ordered: each upstream is asked before anything is sent.
+    m_formerLeaderUntil = formerLeaderUntil;
+    // The weight store may still serve loads that a former leader ordered: each upstream is queried before an order is sent.
     for (auto &[name, entry] : m_entries) {
         entry = Entry{.order = entry.order};
     }
@@ -39,73 +39,73 @@
 
 void OrderBook::stopLeading()
 {
-    m_leads = false;
+    m_isLeading = false;
 }
 
-void OrderBook::refusedEpoch()
+void OrderBook::handleEpochRefused()
 {
     stopLeading();
 }
 
-void OrderBook::want(const std::vector<Order> &orders)
+void OrderBook::setOrders(const std::vector<Order> &orders)
 {
     std::map<UpstreamName, Entry> entries;
     for (const Order &order : orders) {
         const auto known = m_entries.find(order.upstream);
-        const bool same = known != m_entries.end() && known->second.order == order;
-        entries.emplace(order.upstream, same ? known->second : Entry{.order = order});
+        const bool isUnchanged = known != m_entries.end() && known->second.order == order;
+        entries.emplace(order.upstream, isUnchanged ? known->second : Entry{.order = order});
     }
     m_entries.swap(entries);
 }
 
-bool OrderBook::storeAllows(TimePoint now) const
+bool OrderBook::weightStoreAllows(TimePoint now) const
 {
-    const auto loads = std::ranges::count_if(m_entries, [](const auto &held) {
-        const Entry &entry = held.second;
+    const auto loads = std::ranges::count_if(m_entries, [](const auto &item) {
+        const Entry &entry = item.second;
         return entry.order.kind != OrderKind::ChangeRole && (entry.phase == Phase::Sending || entry.phase == Phase::Loading);
     });
-    return now >= m_nextLoad && static_cast<std::size_t>(loads) < m_options.loadsAtOnce;
+    return now >= m_nextLoadAt && static_cast<std::size_t>(loads) < m_options.maxConcurrentLoads;
 }
 
-std::vector<OrderStep> OrderBook::due(TimePoint now)
+std::vector<OrderStep> OrderBook::dueSteps(TimePoint now)
 {
     std::vector<OrderStep> steps;
-    if (!m_leads || now < m_formerUntil + m_options.longestOrder) {
+    if (!m_isLeading || now < m_formerLeaderUntil + m_options.orderTimeout) {
         return steps;
     }
-    // Step 1. Ask before anything else, also those that are loading: loads that a former leader began count against the weight store.
-    bool allAsked = true;
-    auto asking = static_cast<std::size_t>(std::ranges::count_if(m_entries, [](const auto &held) { return held.second.phase == Phase::Asking; }));
+    // Step 1. Query first, also upstreams that are loading: loads that a former leader ordered count against the weight store's limit.
+    bool allQueried = true;
+    auto queryCount = static_cast<std::size_t>(std::ranges::count_if(m_entries, [](const auto &item) { return item.second.phase == Phase::Querying; }));
     for (auto &[name, entry] : m_entries) {
-        const bool mayAsk = entry.phase == Phase::Waiting || entry.phase == Phase::Loading || entry.phase == Phase::Done;
-        if (mayAsk && now >= entry.next && asking < m_options.asksAtOnce) {
-            ++asking;
-            steps.push_back(OrderStep{.action = OrderStep::Action::Ask, .order = entry.order, .epoch = m_epoch});
-            entry.next = now + LookInterval;
-            entry.phase = entry.phase == Phase::Waiting ? Phase::Asking : entry.phase;
+        const bool mayQuery = entry.phase == Phase::Waiting || entry.phase == Phase::Loading || entry.phase == Phase::Done;
+        if (mayQuery && now >= entry.nextAttemptAt && queryCount < m_options.maxConcurrentQueries) {
+            ++queryCount;
+            steps.push_back(OrderStep{.action = OrderStep::Action::Query, .order = entry.order, .epoch = m_epoch});
+            entry.nextAttemptAt = now + LoadPollInterval;
+            entry.phase = entry.phase == Phase::Waiting ? Phase::Querying : entry.phase;
         }
-        const bool unknown = entry.phase == Phase::Waiting || entry.phase == Phase::Asking;
-        allAsked = allAsked && (!unknown || entry.failures > 0);
+        const bool isUnknown = entry.phase == Phase::Waiting || entry.phase == Phase::Querying;
+        allQueried = allQueried && (!isUnknown || entry.failures > 0);
     }
-    // Step 2. Send what was found neither loaded nor loading, as fast as the weight store stands.
+    // Step 2. Send the orders of upstreams that are neither loaded nor loading, as fast as the weight store allows.
     for (auto &[name, entry] : m_entries) {
         if (entry.phase != Phase::Ready) {
             continue;
         }
-        const bool load = entry.order.kind != OrderKind::ChangeRole;
-        if (load && (!allAsked || !storeAllows(now))) {
+        const bool isLoad = entry.order.kind != OrderKind::ChangeRole;
+        if (isLoad && (!allQueried || !weightStoreAllows(now))) {
             continue;
         }
         entry.phase = Phase::Sending;
-        if (load) {
-            m_nextLoad = now + m_options.loadInterval;
+        if (isLoad) {
+            m_nextLoadAt = now + m_options.minLoadInterval;
         }
         steps.push_back(OrderStep{.action = OrderStep::Action::Send, .order = entry.order, .epoch = m_epoch});
     }
     return steps;
 }
 
-void OrderBook::state(const UpstreamName &upstream, const LoadedState &state, TimePoint now)
+void OrderBook::handleState(const UpstreamName &upstream, const LoadedState &state, TimePoint now)
 {
     const auto found = m_entries.find(upstream);
     if (found == m_entries.end() || found->second.phase == Phase::Waiting || found->second.phase == Phase::Sending) {
@@ -115,7 +115,7 @@
     if (state.argument == entry.order.argument && !state.loading) {
         entry.phase = Phase::Done;
         entry.failures = 0;
-        entry.next = now + m_options.reviewInterval;
+        entry.nextAttemptAt = now + m_options.recheckInterval;
         return;
     }
     if (state.loading) {
@@ -123,23 +123,23 @@
             entry.phase = Phase::Loading;
             entry.loadingSince = now;
         }
-        entry.next = now + LookInterval;
+        entry.nextAttemptAt = now + LoadPollInterval;
         return;
     }
-    if (entry.phase == Phase::Loading && now < entry.loadingSince + m_options.reportLag) {
-        entry.next = now + LookInterval;
+    if (entry.phase == Phase::Loading && now < entry.loadingSince + m_options.loadReportTimeout) {
+        entry.nextAttemptAt = now + LoadPollInterval;
         return;
     }
     if (entry.phase == Phase::Loading) {
-        // It took the order and gave it up.
+        // The upstream accepted the order and aborted it.
         entry.phase = Phase::Waiting;
-        entry.next = now + backoff(entry.failures++);
+        entry.nextAttemptAt = now + backoff(entry.failures++);
         return;
     }
     entry.phase = Phase::Ready;
 }
 
-void OrderBook::sent(const UpstreamName &upstream, TimePoint now)
+void OrderBook::handleAccepted(const UpstreamName &upstream, TimePoint now)
 {
     const auto found = m_entries.find(upstream);
     if (found == m_entries.end() || found->second.phase != Phase::Sending) {
@@ -147,10 +147,10 @@
     }
     found->second.phase = Phase::Loading;
     found->second.loadingSince = now;
-    found->second.next = now + LookInterval;
+    found->second.nextAttemptAt = now + LoadPollInterval;
 }
 
-void OrderBook::failed(const UpstreamName &upstream, TimePoint now)
+void OrderBook::handleFailure(const UpstreamName &upstream, TimePoint now)
 {
     const auto found = m_entries.find(upstream);
     if (found == m_entries.end()) {
@@ -158,36 +158,36 @@
     }
     Entry &entry = found->second;
     if (entry.phase == Phase::Done) {
-        entry.next = now + m_options.reviewInterval;
+        entry.nextAttemptAt = now + m_options.recheckInterval;
         return;
     }
-    // A look that failed says nothing about the load; the load is given up only after the longest time.
-    if (entry.phase == Phase::Loading && now < entry.loadingSince + m_options.longestLoad) {
-        entry.next = now + LookInterval;
+    // A failed query does not mean that the load failed: the load is tried again only after loadTimeout.
+    if (entry.phase == Phase::Loading && now < entry.loadingSince + m_options.loadTimeout) {
+        entry.nextAttemptAt = now + LoadPollInterval;
         return;
     }
-    // An order without an answer may still arrive: it is asked about only once it has arrived or vanished.
-    const Duration underWay = entry.phase == Phase::Sending ? m_options.longestOrder : Duration::zero();
+    // An order without an answer may still arrive: the upstream is queried only once the order has arrived or been lost.
+    const Duration timeInFlight = entry.phase == Phase::Sending ? m_options.orderTimeout : Duration::zero();
     entry.phase = Phase::Waiting;
-    entry.next = now + std::max(underWay, backoff(entry.failures));
+    entry.nextAttemptAt = now + std::max(timeInFlight, backoff(entry.failures));
     ++entry.failures;
 }
 
-/// Doubles with each failure, and is spread over its second half, so that upstreams that failed together do not come back together.
+/// Doubles with each failure and has jitter over its second half, so that upstreams that failed at the same time are not retried at the same time.
 Duration OrderBook::backoff(int failures)
 {
-    constexpr int MostDoublings = 16;
-    const Duration whole = std::min(m_options.longestBackoff, m_options.firstBackoff * (1 << std::min(failures, MostDoublings)));
-    const auto half = static_cast<std::uint64_t>(whole.count() / 2);
+    constexpr int MaxDoublings = 16;
+    const Duration fullBackoff = std::min(m_options.maxBackoff, m_options.minBackoff * (1 << std::min(failures, MaxDoublings)));
+    const auto half = static_cast<std::uint64_t>(fullBackoff.count() / 2);
     return Duration(static_cast<Duration::rep>(half + m_random() % (half + 1)));
 }
 
-std::size_t OrderBook::open() const
+std::size_t OrderBook::openCount() const
 {
-    return static_cast<std::size_t>(std::ranges::count_if(m_entries, [](const auto &held) { return held.second.phase != Phase::Done; }));
+    return static_cast<std::size_t>(std::ranges::count_if(m_entries, [](const auto &item) { return item.second.phase != Phase::Done; }));
 }
 
-bool OrderBook::done(const UpstreamName &upstream) const
+bool OrderBook::isDone(const UpstreamName &upstream) const
 {
     const auto found = m_entries.find(upstream);
     return found != m_entries.end() && found->second.phase == Phase::Done;
--- a/src/control/orders.h
+++ b/src/control/orders.h
@@ -19,7 +19,7 @@
 
 const char *toString(OrderKind kind);
 
-/// What an upstream is to do. One order at a time is wanted of an upstream; a newer one takes the place of the one before.
+/// What an upstream is to load or become. An upstream has one order at a time; a newer order replaces the one before.
 struct Order
 {
     UpstreamName upstream;
@@ -32,54 +32,55 @@
 
 struct OrderOptions
 {
-    /// Loads that the weight store feeds at the same time, over all upstreams.
-    std::size_t loadsAtOnce = 2;
-    /// Least time between the starts of two loads: the weight store's limit.
-    Duration loadInterval = std::chrono::seconds(1);
-    /// The longest that an order may be on its way, until which an upstream may still take it.
-    Duration longestOrder = std::chrono::seconds(5);
-    /// An upstream that took an order says within this time that it loads.
-    Duration reportLag = std::chrono::seconds(5);
-    /// The longest that a load may take before it is tried again.
-    Duration longestLoad = std::chrono::minutes(10);
-    /// Upstreams that are asked at the same time.
-    std::size_t asksAtOnce = 64;
-    /// How often an upstream that has what it should is asked again: it may have restarted with something else.
-    Duration reviewInterval = std::chrono::minutes(5);
-    Duration firstBackoff = std::chrono::seconds(1);
-    Duration longestBackoff = std::chrono::seconds(60);
+    /// Limit on concurrent loads from the weight store, over all upstreams.
+    std::size_t maxConcurrentLoads = 2;
+    /// Smallest time between the starts of two loads: the weight store's limit.
+    Duration minLoadInterval = std::chrono::seconds(1);
+    /// Time until which an order in flight may still arrive at its upstream.
+    Duration orderTimeout = std::chrono::seconds(5);
+    /// An upstream that accepted an order reports the load within this time.
+    Duration loadReportTimeout = std::chrono::seconds(5);
+    /// Time after which an unfinished load is tried again.
+    Duration loadTimeout = std::chrono::minutes(10);
+    /// Limit on concurrent queries.
+    std::size_t maxConcurrentQueries = 64;
+    /// Time between two queries of an upstream whose order is done: it may have restarted in another state.
+    Duration recheckInterval = std::chrono::minutes(5);
+    Duration minBackoff = std::chrono::seconds(1);
+    Duration maxBackoff = std::chrono::seconds(60);
 };
 
-/// What an upstream says of itself.
+/// The state that an upstream reports.
 struct LoadedState
 {
-    /// What it has loaded, or its role, by the kind of the order that is wanted.
+    /// The loaded version or adapter, or the role, by the kind of the order.
     std::string argument;
-    /// A load is under way. An upstream must say so as long as it carries out an order: it is all that tells a lost answer from a lost order.
+    /// A load is in progress. An upstream must report this while it carries out an order: nothing else distinguishes a lost answer from a lost order.
     bool loading = false;
 };
 
-/// What the leader does next for an upstream.
+/// The next step of the leader for an upstream.
 struct OrderStep
 {
     enum class Action {
-        Ask, ///< read the upstream's state
-        Send, ///< give the order
+        Query, ///< read the upstream's state
+        Send, ///< send the order
     };
-    Action action = Action::Ask;
+    Action action = Action::Query;
     Order order;
     Epoch epoch;
 };
 
-/// How the leader gives orders: at most one leader at a time, no load twice, no more loads at once than the weight store stands.
+/// Schedules the leader's orders: at most one leader gives orders at a time, no version is loaded twice, and no more loads run at once than the
+/// weight store can serve.
 ///
-/// An order has no record in the log of its progress. Instead every attempt begins by asking the upstream what it has, so that a new
-/// leader, a lost answer and a restart are one case: what is loaded or loading already is not ordered again.
+/// The log has no record of an order's progress. Instead every attempt begins with a query of the upstream's state, so that a new leader, a lost
+/// answer and a restart are handled alike: what is loaded or loading is not ordered again.
 ///
-/// A new leader first waits until a former one has certainly stopped (its lease) and its last order has certainly arrived or vanished
-/// (longestOrder): only then does what an upstream says of itself stay true between the question and the order. That holds for
-/// upstreams that check no fence too. The epoch, which grows with each leader and goes with each order, guards against what time can't:
-/// a process that was stopped between looking at its lease and sending. Upstreams that check it refuse such an order.
+/// A new leader first waits until the former one has certainly stopped (its lease) and its last order has certainly arrived or been lost
+/// (orderTimeout). Only then is the reported state still valid when the order is sent; this also holds for upstreams that check no fence. The epoch,
+/// which grows with each leader and is sent with each order, covers what a wait can't: a process that was stopped between checking its lease and
+/// sending. Upstreams that check the epoch refuse such an order.
 class OrderBook
 {
 public:
@@ -89,55 +90,55 @@
     {
     }
 
-    /// This VM began to lead. formerLeaderUntil is when a former leader has certainly stopped giving orders.
-    void lead(Epoch epoch, TimePoint formerLeaderUntil);
+    /// Starts the leadership of this VM. formerLeaderUntil: when a former leader has certainly stopped giving orders.
+    void startLeading(Epoch epoch, TimePoint formerLeaderUntil);
     void stopLeading();
-    /// What upstreams are to have from now on. Orders that are wanted no more are dropped; one under way is left to end.
-    void want(const std::vector<Order> &orders);
-
-    /// What to do now. Each step is answered by state(), sent() or failed() in the end; this VM must not give the order after its
-    /// lease has ended.
-    std::vector<OrderStep> due(TimePoint now);
-    /// The upstream's answer to Ask.
-    void state(const UpstreamName &upstream, const LoadedState &state, TimePoint now);
-    /// The upstream took the order (Send).
-    void sent(const UpstreamName &upstream, TimePoint now);
-    /// No answer, or a failure: the order may have been taken or not.
-    void failed(const UpstreamName &upstream, TimePoint now);
-    /// The upstream refused the epoch as old: another VM leads, and this one gives no orders any more.
-    void refusedEpoch();
-
-    /// Orders that are wanted and not yet seen done.
-    std::size_t open() const;
-    bool done(const UpstreamName &upstream) const;
+    /// Replaces the orders. An order that is no longer in the list is dropped; if it is in flight, it is not cancelled and its outcome is ignored.
+    void setOrders(const std::vector<Order> &orders);
+
+    /// Returns the steps to take now. Each step ends with a call of handleState(), handleAccepted() or handleFailure(). This VM must not send an
+    /// order after its lease has ended.
+    std::vector<OrderStep> dueSteps(TimePoint now);
+    /// Handles an upstream's answer to Query.
+    void handleState(const UpstreamName &upstream, const LoadedState &state, TimePoint now);
+    /// Handles an order (Send) that the upstream accepted.
+    void handleAccepted(const UpstreamName &upstream, TimePoint now);
+    /// Handles a step without an answer or with a failure: an order may have been accepted or not.
+    void handleFailure(const UpstreamName &upstream, TimePoint now);
+    /// Handles an order that an upstream refused because of an older epoch: another VM leads, so this one stops giving orders.
+    void handleEpochRefused();
+
+    /// Returns the number of orders that are not known to be done.
+    std::size_t openCount() const;
+    bool isDone(const UpstreamName &upstream) const;
 
 private:
     enum class Phase {
-        Waiting, ///< for the time of the next attempt
-        Asking,
-        Ready, ///< asked, and neither loaded nor loading: may be sent when the weight store allows
+        Waiting, ///< until the time of the next attempt
+        Querying,
+        Ready, ///< neither loaded nor loading: sent when the weight store allows
         Sending,
-        Loading, ///< the upstream has the order; asked again until it is done
-        Done, ///< asked again now and then
+        Loading, ///< accepted by the upstream; queried until the load is done
+        Done, ///< queried each recheckInterval
     };
     struct Entry
     {
         Order order;
         Phase phase = Phase::Waiting;
-        TimePoint next{};
+        TimePoint nextAttemptAt{};
         TimePoint loadingSince{};
         int failures = 0;
     };
 
     Duration backoff(int failures);
-    bool storeAllows(TimePoint now) const;
+    bool weightStoreAllows(TimePoint now) const;
 
     const OrderOptions m_options;
     std::mt19937_64 m_random;
-    bool m_leads = false;
+    bool m_isLeading = false;
     Epoch m_epoch;
-    TimePoint m_formerUntil{};
-    TimePoint m_nextLoad{};
+    TimePoint m_formerLeaderUntil{};
+    TimePoint m_nextLoadAt{};
     std::map<UpstreamName, Entry> m_entries;
 };
 
--- a/src/control/rolloutleader.cpp
+++ b/src/control/rolloutleader.cpp
@@ -9,22 +9,22 @@
 namespace
 {
 
-/// Under the tenth of all requests that a version may get before anything is known of it.
+/// Below the tenth of all requests that an unproven version may get.
 constexpr std::uint32_t FirstSharePermille = 70;
-/// With the first share for seven tenths of the time, this one for two tenths keeps the whole under an eighth.
+/// With the first share for seven tenths of the time and this one for two tenths, the version gets under an eighth of all requests.
 constexpr std::uint32_t SecondSharePermille = 200;
-constexpr std::uint32_t WholeSharePermille = 1000;
-/// Parts of the time at which the second share and the end come; the last tenth is room for a change of leaders.
-constexpr double SecondShareAt = 0.7;
-constexpr double CompleteAt = 0.9;
-/// Answers without which a version is neither good nor bad.
-constexpr std::uint64_t LeastAnswers = 20;
-constexpr double LeastFailureRate = 0.02;
-constexpr double FailureProbability = 1e-4;
-constexpr double SlowFactor = 2.5;
+constexpr std::uint32_t FullSharePermille = 1000;
+/// Ratios of the rollout's time at which the second share and the end come; the last tenth allows for a leader change.
+constexpr double SecondShareTimeRatio = 0.7;
+constexpr double CompletionTimeRatio = 0.9;
+/// A version with fewer answers is unproven.
+constexpr std::uint64_t MinAnswers = 20;
+constexpr double MinFailureRate = 0.02;
+constexpr double FailureSignificance = 1e-4;
+constexpr double SlowRatio = 2.5;
 
-/// Probability of at least "events" in "trials" of probability p.
-double atLeast(std::uint64_t events, std::uint64_t trials, double p)
+/// Returns the probability of at least "events" successes in "trials" trials of probability p.
+double binomialTail(std::uint64_t events, std::uint64_t trials, double p)
 {
     double below = 0;
     for (std::uint64_t k = 0; k < events; ++k) {
@@ -56,7 +56,7 @@
     return sum;
 }
 
-v1::RolloutVerdict verdictOn(const v1::Rollout &rollout, v1::RolloutState state, std::uint32_t share, const std::string &reason)
+v1::RolloutVerdict makeVerdict(const v1::Rollout &rollout, v1::RolloutState state, std::uint32_t share, const std::string &reason)
 {
     v1::RolloutVerdict verdict;
     verdict.set_service(rollout.service());
@@ -68,7 +68,7 @@
     return verdict;
 }
 
-std::string evidence(const v1::VersionCounts &target, const v1::VersionCounts &others)
+std::string describeEvidence(const v1::VersionCounts &target, const v1::VersionCounts &others)
 {
     return std::to_string(target.bad()) + " of " + std::to_string(target.good() + target.bad()) + " failed (others " + std::to_string(others.bad()) + " of "
         + std::to_string(others.good() + others.bad()) + "), " + std::to_string(static_cast<long>(meanHeadMs(target))) + " ms (others "
@@ -77,20 +77,20 @@
 
 }
 
-VersionHealth judgeVersion(const v1::VersionCounts &target, const v1::VersionCounts &others)
+VersionHealth evaluateVersion(const v1::VersionCounts &target, const v1::VersionCounts &others)
 {
     const std::uint64_t answers = target.good() + target.bad();
     const std::uint64_t otherAnswers = others.good() + others.bad();
     const double otherRate = otherAnswers == 0 ? 0 : static_cast<double>(others.bad()) / static_cast<double>(otherAnswers);
-    const double expected = std::clamp(1.5 * otherRate, LeastFailureRate, 0.9);
-    if (target.bad() >= 3 && atLeast(target.bad(), answers, expected) < FailureProbability) {
+    const double expected = std::clamp(1.5 * otherRate, MinFailureRate, 0.9);
+    if (target.bad() >= 3 && binomialTail(target.bad(), answers, expected) < FailureSignificance) {
         return VersionHealth::Failing;
     }
-    const bool bothTimed = target.heads() >= LeastAnswers && others.heads() >= LeastAnswers;
-    if (bothTimed && meanHeadMs(target) > SlowFactor * meanHeadMs(others)) {
+    const bool bothTimed = target.heads() >= MinAnswers && others.heads() >= MinAnswers;
+    if (bothTimed && meanHeadMs(target) > SlowRatio * meanHeadMs(others)) {
         return VersionHealth::Slow;
     }
-    return answers >= LeastAnswers ? VersionHealth::Sound : VersionHealth::Unproved;
+    return answers >= MinAnswers ? VersionHealth::Healthy : VersionHealth::Unproven;
 }
 
 std::vector<v1::RolloutVerdict> decideRollouts(const RolloutMap &rollouts, FleetAggregate &aggregate, WallTime now)
@@ -105,28 +105,28 @@
         const auto found = versions.find(rollout.target());
         const v1::VersionCounts target = found == versions.end() ? v1::VersionCounts() : found->second;
         const v1::VersionCounts others = sumOfOthers(versions, rollout.target());
-        const VersionHealth health = judgeVersion(target, others);
-        const double passed = static_cast<double>(now.value - rollout.started_at_ms()) / std::max<double>(1, rollout.duration_ms());
-        // Step 1. A version that looks worse gets nothing more, whatever the time.
+        const VersionHealth health = evaluateVersion(target, others);
+        const double elapsedRatio = static_cast<double>(now.value - rollout.started_at_ms()) / std::max<double>(1, rollout.duration_ms());
+        // Step 1. A failing or slow version is rolled back at any time.
         if (health == VersionHealth::Failing || health == VersionHealth::Slow) {
             const std::string kind = health == VersionHealth::Failing ? "fails more than the other versions: " : "slower than the other versions: ";
-            verdicts.push_back(verdictOn(rollout, v1::ROLLOUT_ROLLED_BACK, 0, kind + evidence(target, others)));
+            verdicts.push_back(makeVerdict(rollout, v1::ROLLOUT_ROLLED_BACK, 0, kind + describeEvidence(target, others)));
             continue;
         }
-        // Step 2. The end: all traffic on enough evidence, none without it.
-        if (passed >= CompleteAt && health == VersionHealth::Sound) {
-            verdicts.push_back(verdictOn(rollout, v1::ROLLOUT_COMPLETED, WholeSharePermille, "no fault found: " + evidence(target, others)));
+        // Step 2. At the end the version gets all traffic if it is healthy and none otherwise.
+        if (elapsedRatio >= CompletionTimeRatio && health == VersionHealth::Healthy) {
+            verdicts.push_back(makeVerdict(rollout, v1::ROLLOUT_COMPLETED, FullSharePermille, "no fault found: " + describeEvidence(target, others)));
             continue;
         }
-        if (passed >= 1) {
-            verdicts.push_back(verdictOn(rollout, v1::ROLLOUT_ROLLED_BACK, 0, "too few answers by the time limit: " + evidence(target, others)));
+        if (elapsedRatio >= 1) {
+            verdicts.push_back(makeVerdict(rollout, v1::ROLLOUT_ROLLED_BACK, 0, "too few answers by the time limit: " + describeEvidence(target, others)));
             continue;
         }
-        // Step 3. The share that belongs to the time.
-        const bool second = passed >= SecondShareAt && health == VersionHealth::Sound;
-        const std::uint32_t share = second ? SecondSharePermille : FirstSharePermille;
+        // Step 3. Before the end the share follows from the elapsed time.
+        const bool isSecondShare = elapsedRatio >= SecondShareTimeRatio && health == VersionHealth::Healthy;
+        const std::uint32_t share = isSecondShare ? SecondSharePermille : FirstSharePermille;
         if (rollout.share_permille() != share) {
-            verdicts.push_back(verdictOn(rollout, v1::ROLLOUT_IN_PROGRESS, share, second ? "no fault at the first share" : "first share"));
+            verdicts.push_back(makeVerdict(rollout, v1::ROLLOUT_IN_PROGRESS, share, isSecondShare ? "no fault at the first share" : "first share"));
         }
     }
     return verdicts;
--- a/src/control/rollouts.cpp
+++ b/src/control/rollouts.cpp
@@ -3,19 +3,19 @@
 namespace cumindyke
 {
 
-RolloutChange startRollout(RolloutMap &rollouts, const v1::StartRollout &order, WallTime now)
+RolloutChange startRollout(RolloutMap &rollouts, const v1::StartRollout &request, WallTime now)
 {
-    const auto newest = rollouts.find(order.service());
-    if (newest != rollouts.end() && newest->second.target() == order.target()) {
+    const auto newest = rollouts.find(request.service());
+    if (newest != rollouts.end() && newest->second.target() == request.target()) {
         return RolloutChange::None;
     }
     v1::Rollout rollout;
-    rollout.set_service(order.service());
-    rollout.set_target(order.target());
-    rollout.set_duration_ms(order.duration_ms());
+    rollout.set_service(request.service());
+    rollout.set_target(request.target());
+    rollout.set_duration_ms(request.duration_ms());
     rollout.set_started_at_ms(now.value);
     rollout.set_state(v1::ROLLOUT_IN_PROGRESS);
-    rollouts[order.service()] = rollout;
+    rollouts[request.service()] = rollout;
     return RolloutChange::Changed;
 }
 
--- a/src/control/rollouts.h
+++ b/src/control/rollouts.h
@@ -13,14 +13,14 @@
 /// The newest rollout of each routed service, by the service's name.
 using RolloutMap = std::map<std::string, v1::Rollout>;
 
-/// Whether a command changed what VMs must have in force.
+/// Whether a command changed the configuration that VMs must have in force.
 enum class RolloutChange { None, Changed };
 
-/// An operator's order. The same order again is a resend after a lost answer, so it changes nothing, also after the rollout's end: a
-/// resend that began the rollout anew would give a version that was taken back its traffic again.
-RolloutChange startRollout(RolloutMap &rollouts, const v1::StartRollout &order, WallTime now);
+/// Starts a rollout at an operator's request. A repeated request is a resend after a lost answer and changes nothing, also after the end of the
+/// rollout: starting anew would give traffic to a version that was rolled back.
+RolloutChange startRollout(RolloutMap &rollouts, const v1::StartRollout &request, WallTime now);
 
-/// A leader's verdict. It has no effect on a rollout that has ended, or on another one than it was made for: two leaders in turn may
+/// Applies a verdict of a leader. It has no effect on a closed rollout or on another one than it was made for, since two successive leaders may
 /// decide on the same rollout.
 RolloutChange applyRolloutVerdict(RolloutMap &rollouts, const v1::RolloutVerdict &verdict);
 
--- a/src/control/statemachine.cpp
+++ b/src/control/statemachine.cpp
@@ -177,10 +177,10 @@
 v1::CommandReply StateMachine::applyMoveVerdict(const v1::Command &command)
 {
     const AppliedVerdict applied = applyVerdict(m_moves, m_declarations, command.move_verdict(), WallTime{command.at_ms()});
-    if (!applied.declared) {
+    if (!applied.newDeclaration) {
         return applied.reply;
     }
-    const Change change = *applied.declared;
+    const Change change = *applied.newDeclaration;
     const Result<Declarations> next = m_declarations.apply({change});
     if (ok(next)) {
         m_declarations = valueOf(next);
--- a/tests/control/movecommandstest.cpp
+++ b/tests/control/movecommandstest.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr const char *Amman = R"(
+constexpr const char *AmmanDeclarations = R"(
 [[tier]]
 name = "family"
 rank = 0
@@ -53,21 +53,21 @@
 slots = 8
 )";
 
-/// Gives commands to a state machine, each under an id of its own, one second apart.
-class Log
+/// Applies commands to a state machine, each under an id of its own and one second apart.
+class CommandLog
 {
 public:
-    Log()
+    CommandLog()
     {
         v1::Command command;
-        const Result<std::vector<Change>> changes = parseDeclarations(Amman, "amman.toml");
+        const Result<std::vector<Change>> changes = parseDeclarations(AmmanDeclarations, "amman.toml");
         REQUIRE(ok(changes));
         for (const Change &change : valueOf(changes)) {
             *command.mutable_apply()->add_changes() = toWire(change);
         }
-        REQUIRE(give(command).outcome() == v1::CommandReply::ACCEPTED);
+        REQUIRE(apply(command).outcome() == v1::CommandReply::ACCEPTED);
     }
-    v1::CommandReply give(v1::Command command)
+    v1::CommandReply apply(v1::Command command)
     {
         command.set_command_id(std::to_string(++m_count));
         command.set_at_ms(1'000 * static_cast<std::int64_t>(m_count));
@@ -79,13 +79,13 @@
         command.mutable_start_move()->set_service(service);
         command.mutable_start_move()->set_to_version(version);
         command.mutable_start_move()->set_deadline_ms(1'000'000);
-        return give(command);
+        return apply(command);
     }
     v1::CommandReply abort(const std::string &move)
     {
         v1::Command command;
         command.mutable_abort_move()->set_move(move);
-        return give(command);
+        return apply(command);
     }
     v1::CommandReply decide(const std::string &move, v1::MoveState state, std::uint32_t share)
     {
@@ -93,14 +93,14 @@
         command.mutable_move_verdict()->set_move(move);
         command.mutable_move_verdict()->set_state(state);
         command.mutable_move_verdict()->set_share_permille(share);
-        return give(command);
+        return apply(command);
     }
-    v1::CommandReply put(const Change &change)
+    v1::CommandReply applyChange(const Change &change)
     {
         v1::Command command;
         command.mutable_apply()->set_base_revision(m_state.declarations().revision().value);
         *command.mutable_apply()->add_changes() = toWire(change);
-        return give(command);
+        return apply(command);
     }
     const v1::Move &move(const std::string &service) const
     {
@@ -131,9 +131,9 @@
 
 }
 
-TEST_CASE("a move that is done makes its version the declared one, in the history too")
+TEST_CASE("a move that is done makes its version the declared one and adds it to the history")
 {
-    Log log;
+    CommandLog log;
     REQUIRE(log.start("drafting").outcome() == Accepted);
     const std::string name = log.move("drafting").name();
     CHECK(log.decide(name, v1::MOVE_STATE_RAMPING, 83).outcome() == Accepted);
@@ -146,11 +146,11 @@
     CHECK(log.move("drafting").share_permille() == 1000);
 }
 
-TEST_CASE("a verdict that comes after an abort or a take-back changes nothing")
+TEST_CASE("a verdict after an abort is refused and changes nothing")
 {
-    // The caller sees the new version come back after it was taken back. The leader proposes a larger share; before that is applied an
-    // operator aborts the move; the share is applied last. A closed move refuses every verdict.
-    Log log;
+    // Guards against a version that gets traffic again after it was rolled back: an operator aborts the move before a verdict with a larger share is
+    // applied. A closed move refuses every verdict.
+    CommandLog log;
     REQUIRE(log.start("drafting").outcome() == Accepted);
     const std::string name = log.move("drafting").name();
     CHECK(log.abort(name).outcome() == Accepted);
@@ -163,9 +163,9 @@
     CHECK(log.declaredVersion("drafting") == "v1");
 }
 
-TEST_CASE("one open move a service; moves of other services run beside it")
+TEST_CASE("a service has one open move at a time, and moves of other services run concurrently")
 {
-    Log log;
+    CommandLog log;
     REQUIRE(log.start("drafting").outcome() == Accepted);
     CHECK(log.start("drafting").outcome() == Refused);
     CHECK(log.start("planning").outcome() == Accepted);
@@ -177,42 +177,42 @@
     CHECK(log.state().moves().size() == 2);
 }
 
-TEST_CASE("a move is refused when it can't be made")
+TEST_CASE("a move of an unknown service or to an unusable version is refused")
 {
-    Log log;
+    CommandLog log;
     CHECK(log.start("nothing").outcome() == Refused);
     CHECK(log.start("drafting", "v1").outcome() == Refused);
     CHECK(log.start("drafting", "v3").outcome() == Refused);
     CHECK(log.abort("nothing").outcome() == Refused);
 }
 
-TEST_CASE("declarations can't pull the ground from under an open move")
+TEST_CASE("declarations that break an open move are refused")
 {
-    Log log;
+    CommandLog log;
     REQUIRE(log.start("drafting").outcome() == Accepted);
     Service service = *log.state().declarations().service(ServiceName{"drafting"});
     service.version = VersionName{"v2"};
-    CHECK(log.put(service).outcome() == Refused);
-    CHECK(log.put(Removal{.kind = Kind::Upstream, .name = "drafting-2"}).outcome() == Refused);
-    CHECK(log.put(Removal{.kind = Kind::Upstream, .name = "drafting-1"}).outcome() == Refused);
-    CHECK(log.put(Removal{.kind = Kind::Upstream, .name = "planning-2"}).outcome() == Accepted);
+    CHECK(log.applyChange(service).outcome() == Refused);
+    CHECK(log.applyChange(Removal{.kind = Kind::Upstream, .name = "drafting-2"}).outcome() == Refused);
+    CHECK(log.applyChange(Removal{.kind = Kind::Upstream, .name = "drafting-1"}).outcome() == Refused);
+    CHECK(log.applyChange(Removal{.kind = Kind::Upstream, .name = "planning-2"}).outcome() == Accepted);
     CHECK(log.abort(log.move("drafting").name()).outcome() == Accepted);
-    CHECK(log.put(Removal{.kind = Kind::Upstream, .name = "drafting-2"}).outcome() == Accepted);
+    CHECK(log.applyChange(Removal{.kind = Kind::Upstream, .name = "drafting-2"}).outcome() == Accepted);
 }
 
-TEST_CASE("whoever leads next goes on from the log, at whichever step the leader died")
+TEST_CASE("the next leader continues a move from the log after a failure at any step")
 {
-    // The operator sees one move with one end. The leader dies after any of its commands; another VM restores a snapshot and goes on; the
-    // dead leader's command is resent under its id. Both replicas end in the same state as a log without a death.
+    // The leader fails after any of its commands, another VM continues from a snapshot, and the command of the failed leader is resent under its id.
+    // The state must end as without a failure.
     const std::vector<std::pair<v1::MoveState, std::uint32_t>> steps{
         {v1::MOVE_STATE_RAMPING, 83}, {v1::MOVE_STATE_RAMPING, 300}, {v1::MOVE_STATE_SOAKING, 900}, {v1::MOVE_STATE_DONE, 1000}};
-    for (std::size_t death = 0; death <= steps.size(); ++death) {
-        Log log;
+    for (std::size_t failedStep = 0; failedStep <= steps.size(); ++failedStep) {
+        CommandLog log;
         REQUIRE(log.start("drafting").outcome() == Accepted);
         const std::string name = log.move("drafting").name();
         StateMachine next;
         for (std::size_t step = 0; step < steps.size(); ++step) {
-            if (step == death) {
+            if (step == failedStep) {
                 REQUIRE(ok(next.restore(log.state().snapshot())));
                 log.state() = next;
             }
@@ -223,11 +223,11 @@
     }
 }
 
-TEST_CASE("random move commands keep the rules: closed moves stay closed, only a done move changes the version")
+TEST_CASE("under random commands closed moves stay closed and only a done move changes the declared version")
 {
     for (std::uint32_t seed = 0; seed < 200; ++seed) {
         std::mt19937_64 random(seed);
-        Log log;
+        CommandLog log;
         std::map<std::string, v1::Move> closed;
         for (int step = 0; step < 60; ++step) {
             const std::string service = random() % 2 == 0 ? "drafting" : "planning";
--- a/tests/control/moveprocesstest.cpp
+++ b/tests/control/moveprocesstest.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// An office whose drafting service has an engine of version v1 and one of v2, under steady traffic of short drafts.
+/// An office whose drafting service has an engine of version v1 and one of v2, under constant traffic of short drafts.
 class MovingOffice
 {
 public:
@@ -50,8 +50,8 @@
         const nlohmann::json json = nlohmann::json::parse(status.out, nullptr, false);
         return json.is_object() && json.contains("moves") && !json["moves"].empty() ? json["moves"][0] : nlohmann::json::object();
     }
-    /// False as soon as the move has ended otherwise.
-    bool reaches(const std::string &state)
+    /// Waits for the state; returns false as soon as the move has ended in another one.
+    bool waitForState(const std::string &state)
     {
         std::string now;
         const bool ended = eventually(
@@ -75,11 +75,11 @@
         while (!stop.stop_requested()) {
             const HttpAnswer answer = m_office.draft("Guest list", 3);
             const StreamedText text = streamedText(answer.body);
-            // Wrong: an answer that looks complete to the caller and is neither the whole text nor ends in an error. One that a killed
-            // daemon cuts off is seen to be cut.
+            // Wrong: an answer that looks complete to the caller but is not the whole text and does not end in an error. An answer cut off by a
+            // killed daemon is recognized as incomplete.
             const bool looksComplete = answer.status == 200 && !answer.failure && text.error.empty();
             m_wrong += looksComplete && !(text.whole && text.text == expectedText("Guest list", 3)) ? 1 : 0;
-            // Not faster than this, so that a failing engine, which answers at once, does not make the callers a flood.
+            // Limits the rate of the callers when a failing engine answers at once.
             std::this_thread::sleep_for(std::chrono::milliseconds(20));
         }
     }
@@ -94,19 +94,19 @@
 
 }
 
-// The operator sees "taken back" and why; callers see some failed answers, then none. The new engine begins to fail when it has part of
-// the traffic; VMs trip, the leader finds the failures against the old version's answers, and the old version has all traffic again.
-TEST_CASE("a new version that begins to fail is taken back, and operators are told so")
+// The new engine begins to fail when it gets part of the traffic. The leader must find the failures against the old version's answers and roll the
+// move back; operators see the state and its reason, and the old version gets all traffic.
+TEST_CASE("a move to a version that begins to fail is rolled back, and operators see the reason")
 {
     MovingOffice moving;
     moving.start("10m");
     REQUIRE(eventually([&] { return countOf(moving.newEngine().log(), "run") > 20; }));
     moving.newEngine().faults(R"({"fail":true})");
-    REQUIRE(moving.reaches("MOVE_STATE_TAKEN_BACK"));
+    REQUIRE(moving.waitForState("MOVE_STATE_TAKEN_BACK"));
     const Finished status = moving.office().daemon().ctl({"move", "status"});
     CHECK(status.out.find("taken back") != std::string::npos);
     CHECK(status.out.find("answers fail") != std::string::npos);
-    // Nothing goes to it any more: what the VM still had under way ends, then its runs stand still.
+    // The new engine gets no more requests: the ones in flight end, then the count of its runs stays the same.
     int runs = -1;
     CHECK(eventually([&] {
         const int before = std::exchange(runs, countOf(moving.newEngine().log(), "run"));
@@ -119,9 +119,9 @@
     CHECK(moving.wrongAnswers() == 0);
 }
 
-// The operator sees "done" by the deadline although the leader was killed on the way: the next start goes on from the log's share with
-// evidence gathered anew, and the declared version is the new one in the end.
-TEST_CASE("a good version is done by its deadline, also when the leader is killed in between")
+// The leader is killed during the move. After its restart it must continue from the share in the log, collect evidence anew and end the move by the
+// deadline, with the new version declared.
+TEST_CASE("a move to a good version is done by its deadline, also when the leader is killed")
 {
     MovingOffice moving;
     moving.start("90s");
@@ -129,7 +129,7 @@
     moving.office().daemon().process().signal(SIGKILL);
     moving.office().daemon().process().wait();
     moving.office().daemon().start();
-    const bool isDone = moving.reaches("MOVE_STATE_DONE");
+    const bool isDone = moving.waitForState("MOVE_STATE_DONE");
     INFO(moving.move().dump());
     REQUIRE(isDone);
     const nlohmann::json move = moving.move();
--- a/tests/control/orderrunnertest.cpp
+++ b/tests/control/orderrunnertest.cpp
@@ -27,14 +27,14 @@
     return valueOf(declared);
 }
 
-/// Gives orders under an epoch until a condition holds, or the patience is over.
-void giveOrders(const Declarations &declarations, std::uint64_t epoch, const std::function<bool()> &until)
+/// Runs an order runner under an epoch until a condition holds or the test's timeout is over.
+void runOrders(const Declarations &declarations, std::uint64_t epoch, const std::function<bool()> &until)
 {
     EventLoop loop;
     OrderRunner runner(loop, OrderOptions{}, epoch);
-    runner.declared(declarations);
-    // A former leader whose orders have all ended long ago.
-    runner.lead(Epoch{epoch}, EventLoop::now() - std::chrono::minutes(1));
+    runner.setDeclarations(declarations);
+    // The orders of the former leader ended long ago.
+    runner.startLeading(Epoch{epoch}, EventLoop::now() - std::chrono::minutes(1));
     Timer tick(loop, [&] {
         runner.tick(EventLoop::now());
         if (until()) {
@@ -42,8 +42,8 @@
         }
     });
     tick.startEvery(std::chrono::milliseconds(20));
-    Timer giveUp(loop, [&loop] { loop.stop(); });
-    giveUp.startOnce(Patience);
+    Timer timeout(loop, [&loop] { loop.stop(); });
+    timeout.startOnce(Patience);
     loop.run();
 }
 
@@ -61,22 +61,22 @@
 
 }
 
-// An upstream is declared with another version than it serves. The leader orders it, once; the leader after it finds it loaded and does
-// not order it again, or the engine would be out of service for a second load.
-TEST_CASE("a declared version is ordered once, over two leaders")
+// An upstream is declared with another version than it serves. The leader must order the version once, and the next leader must find it loaded: a
+// second load would take the engine out of service again.
+TEST_CASE("a declared version is ordered once by two successive leaders")
 {
     const TemporaryFolder folder;
     const TestNetwork network;
     const FakeUpstreamProcess upstream(folder, "drafting-1", network.host(11));
     const Declarations declarations = officeWith(upstream.address(), "v2");
-    giveOrders(declarations, 1, [&] { return serves(upstream, "v2"); });
+    runOrders(declarations, 1, [&] { return serves(upstream, "v2"); });
     REQUIRE(serves(upstream, "v2"));
     int ticks = 0;
-    giveOrders(declarations, 2, [&ticks] { return ++ticks > 50; });
+    runOrders(declarations, 2, [&ticks] { return ++ticks > 50; });
     CHECK(ordersIn(upstream.log()) == 1);
 }
 
-TEST_CASE("an upstream that names no version is given no orders")
+TEST_CASE("a load state without a version is rejected")
 {
     CHECK_FALSE(parseLoadedState("{}"));
     CHECK_FALSE(parseLoadedState("not JSON"));
--- a/tests/control/orderstest.cpp
+++ b/tests/control/orderstest.cpp
@@ -22,28 +22,28 @@
     int loads = 0;
 };
 
-/// Engines, and leaders that give them orders over a network that loses orders and answers and delays them up to the longest order.
-/// A leader that was replaced goes on until its lease has ended.
-class World
+/// Simulates engines and leaders that send them orders over a network that loses orders and answers and delays them by up to orderTimeout. A replaced
+/// leader continues until its lease has ended.
+class OrderSimulation
 {
 public:
-    World(std::uint64_t seed, int engines)
+    OrderSimulation(std::uint64_t seed, int engines)
         : m_random(seed)
     {
         for (int i = 0; i < engines; ++i) {
             const UpstreamName name{"runner-" + std::to_string(i)};
             m_engines[name].checksFence = i % 2 == 0;
-            m_wanted.push_back(Order{.upstream = name, .kind = OrderKind::LoadVersion, .argument = "v2"});
+            m_orders.push_back(Order{.upstream = name, .kind = OrderKind::LoadVersion, .argument = "v2"});
         }
     }
 
     void elect(Duration formerLease)
     {
-        m_former = std::move(m_leader);
-        m_formerUntil = m_now + formerLease;
+        m_formerLeader = std::move(m_leader);
+        m_formerLeaderUntil = m_now + formerLease;
         m_leader = std::make_unique<OrderBook>(m_options, m_random());
-        m_leader->want(m_wanted);
-        m_leader->lead(Epoch{++m_epoch}, m_formerUntil);
+        m_leader->setOrders(m_orders);
+        m_leader->startLeading(Epoch{++m_epoch}, m_formerLeaderUntil);
     }
 
     void step()
@@ -60,11 +60,11 @@
                 engine.loading.reset();
             }
         }
-        act(m_leader.get());
-        if (m_now < m_formerUntil) {
-            act(m_former.get());
+        runSteps(m_leader.get());
+        if (m_now < m_formerLeaderUntil) {
+            runSteps(m_formerLeader.get());
         }
-        mostLoading = std::max(mostLoading, countLoading());
+        maxLoading = std::max(maxLoading, countLoading());
     }
 
     void run(Duration time)
@@ -88,8 +88,8 @@
     }
 
     int lossPermille = 0;
-    int doubleLoads = 0;
-    std::size_t mostLoading = 0;
+    int duplicateLoads = 0;
+    std::size_t maxLoading = 0;
 
 private:
     std::size_t countLoading() const
@@ -100,7 +100,7 @@
         }
         return count;
     }
-    bool lost()
+    bool isLost()
     {
         return m_random() % 1000 < static_cast<std::uint64_t>(lossPermille);
     }
@@ -113,39 +113,39 @@
         m_events.emplace(m_now + delay, std::move(event));
     }
 
-    void act(OrderBook *book)
+    void runSteps(OrderBook *book)
     {
         if (!book) {
             return;
         }
-        for (const OrderStep &step : book->due(m_now)) {
-            // An answer to a leader that is gone reaches nobody.
-            const auto current = [this, book] { return book == m_leader.get() || (book == m_former.get() && m_now < m_formerUntil); };
+        for (const OrderStep &step : book->dueSteps(m_now)) {
+            // An answer to a leader that has stopped is dropped.
+            const auto isCurrent = [this, book] { return book == m_leader.get() || (book == m_formerLeader.get() && m_now < m_formerLeaderUntil); };
             const UpstreamName name = step.order.upstream;
-            const auto giveUp = [this, book, name, current] {
-                if (current()) {
-                    book->failed(name, m_now);
+            const auto fail = [this, book, name, isCurrent] {
+                if (isCurrent()) {
+                    book->handleFailure(name, m_now);
                 }
             };
-            if (lost()) {
-                after(m_options.longestOrder, giveUp);
+            if (isLost()) {
+                after(m_options.orderTimeout, fail);
                 continue;
             }
-            const bool answerLost = lost();
-            after(delay(answerLost ? m_options.longestOrder : std::chrono::seconds(1)), [=, this] { arrive(step, book, answerLost, current); });
-            // The connection may end before the order arrives.
+            const bool answerLost = isLost();
+            after(delay(answerLost ? m_options.orderTimeout : std::chrono::seconds(1)), [=, this] { deliver(step, book, answerLost, isCurrent); });
+            // The connection may fail before the order arrives.
             if (answerLost) {
-                after(delay(m_options.longestOrder), giveUp);
+                after(delay(m_options.orderTimeout), fail);
             }
         }
     }
 
-    void arrive(const OrderStep &step, OrderBook *book, bool answerLost, const std::function<bool()> &current)
+    void deliver(const OrderStep &step, OrderBook *book, bool answerLost, const std::function<bool()> &isCurrent)
     {
         Engine &engine = m_engines[step.order.upstream];
-        if (step.action == OrderStep::Action::Ask) {
-            if (!answerLost && current()) {
-                book->state(step.order.upstream, LoadedState{.argument = engine.loaded, .loading = engine.loading.has_value()}, m_now);
+        if (step.action == OrderStep::Action::Query) {
+            if (!answerLost && isCurrent()) {
+                book->handleState(step.order.upstream, LoadedState{.argument = engine.loaded, .loading = engine.loading.has_value()}, m_now);
             }
             return;
         }
@@ -153,12 +153,12 @@
             return;
         }
         engine.highestEpoch = std::max(engine.highestEpoch, step.epoch.value);
-        doubleLoads += engine.loading || engine.loaded == step.order.argument ? 1 : 0;
+        duplicateLoads += engine.loading || engine.loaded == step.order.argument ? 1 : 0;
         engine.loading = step.order.argument;
         engine.loadedAt = m_now + std::chrono::seconds(3) + delay(std::chrono::seconds(20));
         ++engine.loads;
-        if (!answerLost && current()) {
-            book->sent(step.order.upstream, m_now);
+        if (!answerLost && isCurrent()) {
+            book->handleAccepted(step.order.upstream, m_now);
         }
     }
 
@@ -166,81 +166,81 @@
     std::mt19937_64 m_random;
     TimePoint m_now{std::chrono::hours(1)};
     std::map<UpstreamName, Engine> m_engines;
-    std::vector<Order> m_wanted;
+    std::vector<Order> m_orders;
     std::uint64_t m_epoch = 0;
     std::unique_ptr<OrderBook> m_leader;
-    std::unique_ptr<OrderBook> m_former;
-    TimePoint m_formerUntil{};
+    std::unique_ptr<OrderBook> m_formerLeader;
+    TimePoint m_formerLeaderUntil{};
     std::multimap<TimePoint, std::function<void()>> m_events;
 };
 
 }
 
-// Leaders change while upstreams load, and orders and answers are lost or late; a former leader goes on until its lease ends. Engines,
-// half of which check no fence, must not load the same version twice (it takes the engine out of service and the weight store's time),
-// and in the end all have it.
-TEST_CASE("orders are carried out once each through lost answers and changes of the leader")
+// Leaders change while upstreams load, orders and answers are lost or delayed, and a former leader continues until its lease ends. Engines, half of
+// which check no fence, must not load a version twice, since a load takes the engine out of service and uses the weight store; in the end all engines
+// must have it.
+TEST_CASE("each order is carried out once despite lost answers and leader changes")
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-        World world(seed, 8);
-        world.lossPermille = 150;
-        world.elect(Duration::zero());
+        OrderSimulation simulation(seed, 8);
+        simulation.lossPermille = 150;
+        simulation.elect(Duration::zero());
         for (int change = 0; change < 4; ++change) {
-            world.run(std::chrono::milliseconds(world.random()() % 40'000));
-            world.elect(std::chrono::milliseconds(world.random()() % 2'000));
+            simulation.run(std::chrono::milliseconds(simulation.random()() % 40'000));
+            simulation.elect(std::chrono::milliseconds(simulation.random()() % 2'000));
         }
-        world.run(std::chrono::minutes(10));
+        simulation.run(std::chrono::minutes(10));
         INFO("seed " << seed);
-        CHECK(world.doubleLoads == 0);
-        CHECK(world.leader().open() == 0);
-        for (const auto &[name, engine] : world.engines()) {
+        CHECK(simulation.duplicateLoads == 0);
+        CHECK(simulation.leader().openCount() == 0);
+        for (const auto &[name, engine] : simulation.engines()) {
             CHECK(engine.loaded == "v2");
             CHECK(engine.loads == 1);
         }
     }
 }
 
-// The weight store feeds two loads at a time. A new leader counts what the one before began, or the store would have to feed four.
-TEST_CASE("no more loads run at once than the weight store stands, over a change of the leader")
+// The weight store serves two loads at a time. A new leader must count the loads that the former one ordered, or four would run at once.
+TEST_CASE("no more loads run at once than the weight store allows, also after a leader change")
 {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-        World world(seed, 10);
-        world.elect(Duration::zero());
-        world.run(std::chrono::milliseconds(10'000 + world.random()() % 20'000));
-        world.elect(std::chrono::seconds(2));
-        world.run(std::chrono::minutes(5));
+        OrderSimulation simulation(seed, 10);
+        simulation.elect(Duration::zero());
+        simulation.run(std::chrono::milliseconds(10'000 + simulation.random()() % 20'000));
+        simulation.elect(std::chrono::seconds(2));
+        simulation.run(std::chrono::minutes(5));
         INFO("seed " << seed);
-        CHECK(world.mostLoading == OrderOptions{}.loadsAtOnce);
-        CHECK(world.leader().open() == 0);
+        CHECK(simulation.maxLoading == OrderOptions{}.maxConcurrentLoads);
+        CHECK(simulation.leader().openCount() == 0);
     }
 }
 
-TEST_CASE("a leader whose epoch was refused gives no more orders")
+TEST_CASE("a leader whose epoch was refused sends no more orders")
 {
     OrderBook book({}, 1);
     const TimePoint start{std::chrono::hours(1)};
-    book.want({Order{.upstream = UpstreamName{"runner"}, .argument = "v2"}});
-    book.lead(Epoch{3}, start);
-    REQUIRE(book.due(start + std::chrono::seconds(5)).size() == 1);
-    book.refusedEpoch();
-    CHECK(book.due(start + std::chrono::hours(1)).empty());
+    book.setOrders({Order{.upstream = UpstreamName{"runner"}, .argument = "v2"}});
+    book.startLeading(Epoch{3}, start);
+    REQUIRE(book.dueSteps(start + std::chrono::seconds(5)).size() == 1);
+    book.handleEpochRefused();
+    CHECK(book.dueSteps(start + std::chrono::hours(1)).empty());
 }
 
-TEST_CASE("attempts after failures are spread and ever further apart")
+TEST_CASE("attempts after failures have jitter and exponential backoff")
 {
     OrderBook book({}, 1);
     TimePoint now{std::chrono::hours(1)};
-    book.want({Order{.upstream = UpstreamName{"runner"}, .argument = "v2"}});
-    book.lead(Epoch{1}, now);
+    book.setOrders({Order{.upstream = UpstreamName{"runner"}, .argument = "v2"}});
+    book.startLeading(Epoch{1}, now);
     std::vector<int> gaps;
     int gap = 0;
     for (int second = 0; second < 400; ++second) {
         now += std::chrono::seconds(1);
         ++gap;
-        if (book.due(now).empty()) {
+        if (book.dueSteps(now).empty()) {
             continue;
         }
-        book.failed(UpstreamName{"runner"}, now);
+        book.handleFailure(UpstreamName{"runner"}, now);
         gaps.push_back(gap);
         gap = 0;
     }
