--- a/src/control/controltask.cpp
+++ b/src/control/controltask.cpp
@@ -14,18 +14,19 @@
 {
 
 constexpr Duration TickInterval = std::chrono::milliseconds(50);
-/// A hand-over of leadership takes some round trips; a replica that finds no successor leaves after this.
-constexpr Duration DepartureLimit = std::chrono::seconds(2);
-/// For calls of operators that are under way when the process is told to end.
-constexpr Duration LastAnswers = std::chrono::milliseconds(500);
-/// Differs at every start of a process, and leaves room to count up from.
+/// A transfer of leadership takes some round trips; a replica that finds no successor leaves after this time.
+constexpr Duration DepartureTimeout = std::chrono::seconds(2);
+/// Time to answer operators' calls in progress when the process is told to exit.
+constexpr Duration AnswerGracePeriod = std::chrono::milliseconds(500);
+/// Returns a number that differs at every start of a process and is small enough to count up from.
 std::uint64_t randomIncarnation()
 {
     std::random_device device;
     return (static_cast<std::uint64_t>(device()) << 31) ^ device();
 }
 
-/// Replicas first: they know who leads. Each VM begins with another one, or all that start together would ask the same one.
+/// Returns the candidates for the leader: replicas first, since they know the leader. Each VM begins with a different replica, or all VMs that start
+/// together would ask the same one.
 std::vector<VmName> leaderCandidates(const ControlOptions &options)
 {
     std::vector<VmName> candidates = options.replicas;
@@ -44,17 +45,17 @@
     return candidates;
 }
 
-std::vector<VmName> namesIn(const google::protobuf::RepeatedPtrField<std::string> &texts)
+std::vector<VmName> toVmNames(const google::protobuf::RepeatedPtrField<std::string> &strings)
 {
     std::vector<VmName> names;
-    for (const std::string &text : texts) {
-        names.push_back(VmName{text});
+    for (const std::string &string : strings) {
+        names.push_back(VmName{string});
     }
     return names;
 }
 
-/// What may be lost, since the sender soon tells it again.
-bool isSignal(const v1::Envelope &envelope)
+/// Returns whether the message may be lost, since its sender soon sends a new one.
+bool isHeartbeatOrLease(const v1::Envelope &envelope)
 {
     return envelope.has_config_heartbeat() || envelope.has_config_lease();
 }
@@ -83,21 +84,21 @@
 void ControlTask::start()
 {
     m_heartbeatSchedule.start(EventLoop::now());
-    m_tick.startEvery(TickInterval);
+    m_tickTimer.startEvery(TickInterval);
     m_thread = std::thread([this] { m_loop.run(); });
 }
 
 ControlTask::ControlTask(ControlOptions options)
     : m_options(std::move(options))
-    , m_mailbox(m_loop, [this](ControlMessage &&message) { std::visit([this](auto &held) { handle(held); }, message); })
-    , m_tick(m_loop, [this] { tick(); })
-    , m_flush(m_loop, [this] { flushLog(); })
+    , m_mailbox(m_loop, [this](ControlMessage &&message) { std::visit([this](auto &content) { handle(content); }, message); })
+    , m_tickTimer(m_loop, [this] { tick(); })
+    , m_flushTimer(m_loop, [this] { flushLog(); })
     , m_leadership(LeadershipOptions{
                        .vm = m_options.vm,
                        .vms = allVms(m_options),
                        .lease = {.keepAdmitting = m_options.keepAdmitting},
                        .confirmWithin = m_options.confirmWithin,
-                       .send = [this](const VmName &to, v1::Envelope envelope) { sendSignal(to, std::move(envelope)); },
+                       .send = [this](const VmName &to, v1::Envelope envelope) { sendPreferringDatagrams(to, std::move(envelope)); },
                        .hasQuorum = [this](TimePoint now) { return hasQuorum(now); },
                        .replicas = [this] { return m_log->membership().voters(); },
                        .metrics = m_options.metrics,
@@ -132,15 +133,16 @@
     }
     m_datagrams = std::move(valueOf(opened));
     m_datagrams->received().connect([this](PeerMessage &message) {
-        if (isSignal(message.envelope)) {
-            take(message);
+        if (isHeartbeatOrLease(message.envelope)) {
+            handlePeerMessage(message);
         }
     });
     return {};
 }
 
-/// A beat is answered the way it came: while the setting is brought to a fleet, or taken back, some VMs beat by calls.
-void ControlTask::sendSignal(const VmName &to, v1::Envelope envelope)
+/// A heartbeat is answered by the transport that it came by: while datagrams are being enabled or disabled in a fleet, some VMs send heartbeats by
+/// calls.
+void ControlTask::sendPreferringDatagrams(const VmName &to, v1::Envelope envelope)
 {
     const bool byDatagram
         = m_datagrams && to != m_options.vm && (envelope.has_config_heartbeat() || (envelope.has_config_lease() && m_datagrams->hasReceivedFrom(to)));
@@ -167,24 +169,24 @@
     const TimePoint now = EventLoop::now();
     if (m_log) {
         m_log->tick(now);
-        followLeadership(now);
+        updateLeadership(now);
     }
     if (hasQuorum(now)) {
         m_orderRunner.tick(now);
     }
     for (const v1::CellAssignment &assignment : m_leadership.tick(now)) {
         v1::Command command;
-        // The same decision has the same id, so that a repeat while the first is on its way changes nothing.
+        // The same decision has the same id, so that a repeat while the first command is pending changes nothing.
         command.set_command_id("assign-cell/" + assignment.cell() + "/" + std::to_string(assignment.epoch()) + "/" + m_options.vm.value);
         *command.mutable_assign_cell() = assignment;
         propose(std::move(command), [](const Result<v1::ProposeReply> &) {});
     }
-    if (now >= m_nextLook) {
-        decideMoves(now);
+    if (now >= m_nextVerdictsAt) {
+        proposeVerdictsAndBurn(now);
     }
     if (m_heartbeatSchedule.mustAskNextCandidate(now)) {
         m_leaderSearch.onNoReply(m_leaderSearch.leader());
-        askForLease(now);
+        requestLease(now);
     }
     if (m_heartbeatSchedule.isDue(now)) {
         sendHeartbeat(now);
@@ -193,28 +195,28 @@
         m_hadLease = false;
         logChange("control", "lease-lapsed", {{"version", std::to_string(m_follower.version())}});
     }
-    sendDue(now);
-    feedWatchers();
-    leaveIfReplaced(now);
+    sendDueRequests(now);
+    updateWatchers();
+    completeDepartureIfDue(now);
 }
 
-/// Commands that were taken before the hand-over are answered first.
-void ControlTask::leaveIfReplaced(TimePoint now)
+/// Waits for AnswerGracePeriod after the transfer of leadership, so that commands accepted before it are answered.
+void ControlTask::completeDepartureIfDue(TimePoint now)
 {
-    const bool leads = m_log && m_log->isLeader();
-    if (m_left && (now >= m_leaveBy || (!leads && now >= m_leaveBy - DepartureLimit + LastAnswers))) {
-        std::exchange(m_left, {})();
+    const bool isLeading = m_log && m_log->isLeader();
+    if (m_onLeft && (now >= m_departureDeadline || (!isLeading && now >= m_departureDeadline - DepartureTimeout + AnswerGracePeriod))) {
+        std::exchange(m_onLeft, {})();
     }
 }
 
 void ControlTask::handle(Proposal &proposal)
 {
-    // The forwarder's resends outlast changes of the leader, so it is used also when this VM leads.
+    // The forwarder's resends continue across leader changes, so it is used also while this VM leads.
     v1::ProposeRequest request;
     request.set_command(proposal.command.SerializeAsString());
     const TimePoint now = EventLoop::now();
     m_forwarder.submit(std::move(request), std::move(proposal.answer), now);
-    sendDue(now);
+    sendDueRequests(now);
 }
 
 void ControlTask::handle(Question &question)
@@ -230,42 +232,42 @@
         answer(valueOf(reply).answer());
     };
     m_forwarder.submit(std::move(request), answer, now);
-    sendDue(now);
+    sendDueRequests(now);
 }
 
 void ControlTask::handle(StateQuery &query)
 {
-    query.look(m_state);
+    query.visit(m_state);
 }
 
 void ControlTask::handle(FollowerQuery &query)
 {
-    query.look(m_follower);
+    query.visit(m_follower);
 }
 
 void ControlTask::handle(Watch &watch)
 {
     m_watchers.add(watch.after, std::move(watch.sink));
-    feedWatchers();
+    updateWatchers();
 }
 
 void ControlTask::handle(Subscription &subscription)
 {
-    subscription.changed(configuration());
-    m_configurationChanged.connect(subscription.changed);
+    subscription.onChanged(configuration());
+    m_configurationChanged.connect(subscription.onChanged);
 }
 
-void ControlTask::handle(TallyUpdate &notice)
+void ControlTask::handle(TallyUpdate &update)
 {
-    m_tally = std::move(notice.tally);
+    m_entryTally = std::move(update.tally);
 }
 
-void ControlTask::handle(CandidatesUpdate &notice)
+void ControlTask::handle(CandidatesUpdate &update)
 {
-    m_leaderSearch.setCandidates(notice.replicas);
+    m_leaderSearch.setCandidates(update.replicas);
 }
 
-void ControlTask::handle(DrainStarted & /*notice*/)
+void ControlTask::handle(DrainStarted & /*message*/)
 {
     m_follower.setDraining(true);
     if (m_log) {
@@ -274,10 +276,10 @@
     sendHeartbeat(EventLoop::now());
 }
 
-void ControlTask::handle(DepartureRequest &notice)
+void ControlTask::handle(DepartureRequest &request)
 {
-    m_left = std::move(notice.left);
-    m_leaveBy = EventLoop::now() + DepartureLimit;
+    m_onLeft = std::move(request.onLeft);
+    m_departureDeadline = EventLoop::now() + DepartureTimeout;
 }
 
 void ControlTask::handle(PeerMessage &message)
@@ -285,10 +287,10 @@
     if (m_datagrams && message.envelope.has_config_heartbeat()) {
         m_datagrams->removeSender(message.from);
     }
-    take(message);
+    handlePeerMessage(message);
 }
 
-void ControlTask::take(PeerMessage &message)
+void ControlTask::handlePeerMessage(PeerMessage &message)
 {
     switch (message.envelope.body_case()) {
     case v1::Envelope::kRaft:
@@ -297,31 +299,31 @@
         }
         break;
     case v1::Envelope::kPropose:
-        proposeHere(message.from, message.envelope.propose());
+        handleProposeRequest(message.from, message.envelope.propose());
         break;
     case v1::Envelope::kProposeReply:
         m_forwarder.handleReply(message.from, message.envelope.propose_reply(), m_leaderSearch, EventLoop::now());
         break;
     case v1::Envelope::kConfigHeartbeat:
-        takeBeat(message.from, message.envelope.config_heartbeat());
+        handleHeartbeat(message.from, message.envelope.config_heartbeat());
         break;
     case v1::Envelope::kConfigLease:
-        takeLease(message.from, message.envelope.config_lease());
+        handleLease(message.from, message.envelope.config_lease());
         break;
     case v1::Envelope::kConfigUpdate:
         handleUpdate(message.envelope.config_update());
         break;
     case v1::Envelope::kOutcomeReport:
-        takeOutcomes(message.from, message.envelope);
+        handleOutcomeReport(message.from, message.envelope);
         break;
     default:
         break;
     }
 }
 
-void ControlTask::decideMoves(TimePoint now)
+void ControlTask::proposeVerdictsAndBurn(TimePoint now)
 {
-    m_nextLook = now + std::chrono::milliseconds(EvaluationIntervalMs);
+    m_nextVerdictsAt = now + std::chrono::milliseconds(EvaluationIntervalMs);
     if (!m_leadership.isLeading()) {
         m_moveLeader.reset();
         return;
@@ -358,8 +360,8 @@
     }
 }
 
-/// The entry task hands its report to the control task of its own VM, which knows the leader.
-void ControlTask::takeOutcomes(const VmName &from, v1::Envelope &envelope)
+/// The entry task sends its report to the control task of its own VM, which passes it on to the leader.
+void ControlTask::handleOutcomeReport(const VmName &from, v1::Envelope &envelope)
 {
     if (m_leadership.isLeading()) {
         m_moveLeader.recordOutcomes(envelope.outcome_report());
@@ -368,8 +370,8 @@
     }
 }
 
-/// Asks whom this VM takes for the leader at once, and another one soon if there is no answer.
-void ControlTask::askForLease(TimePoint now)
+/// Sends a heartbeat to the presumed leader at once; the next candidate is asked soon if there is no reply.
+void ControlTask::requestLease(TimePoint now)
 {
     m_heartbeatSchedule.onNextCandidateAsked(now);
     m_hintFollowed = false;
@@ -381,14 +383,14 @@
     m_heartbeatSchedule.onSent(now);
     v1::Envelope envelope;
     *envelope.mutable_config_heartbeat() = m_follower.makeHeartbeat(now);
-    if (m_tally) {
-        *envelope.mutable_config_heartbeat()->mutable_tally() = *m_tally;
-        envelope.mutable_config_heartbeat()->set_fleet_digest(m_fleet ? m_fleet->digest() : 0);
+    if (m_entryTally) {
+        *envelope.mutable_config_heartbeat()->mutable_tally() = *m_entryTally;
+        envelope.mutable_config_heartbeat()->set_fleet_digest(m_fleetTally ? m_fleetTally->digest() : 0);
     }
-    sendSignal(m_leaderSearch.leader(), std::move(envelope));
+    sendPreferringDatagrams(m_leaderSearch.leader(), std::move(envelope));
 }
 
-void ControlTask::sendDue(TimePoint now)
+void ControlTask::sendDueRequests(TimePoint now)
 {
     for (OutgoingEnvelope &outgoing : m_forwarder.dueRequests(m_leaderSearch, now)) {
         m_options.send(outgoing.to, std::move(outgoing.envelope));
@@ -408,24 +410,24 @@
     case Follower::UpdateResult::Outdated:
         return;
     case Follower::UpdateResult::Applied:
-        configurationIsNew();
+        onConfigurationChanged();
         break;
     case Follower::UpdateResult::Gap:
         break;
     }
-    // At once, so that the leader knows that this VM has it in force, or repairs the gap.
+    // At once, so that the leader learns that this VM has the version in force, or repairs the gap.
     sendHeartbeat(EventLoop::now());
 }
 
-void ControlTask::takeLease(const VmName &from, const v1::ConfigLease &lease)
+void ControlTask::handleLease(const VmName &from, const v1::ConfigLease &lease)
 {
     const TimePoint now = EventLoop::now();
     m_heartbeatSchedule.onReply();
     if (lease.length_ms() == 0) {
-        const VmName before = m_leaderSearch.leader();
+        const VmName previousLeader = m_leaderSearch.leader();
         m_leaderSearch.onLeaderHint(VmName{lease.leader()});
-        // Followed at once, but one hint only: a chain of them that leads nowhere must not keep the next candidate from being asked.
-        if (m_leaderSearch.leader() != before && !std::exchange(m_hintFollowed, true)) {
+        // A hint is followed at once, but only one: a chain of hints that leads nowhere must not delay the next candidate.
+        if (m_leaderSearch.leader() != previousLeader && !std::exchange(m_hintFollowed, true)) {
             sendHeartbeat(now);
             m_heartbeatSchedule.onNextCandidateAsked(now);
         }
@@ -433,13 +435,13 @@
     }
     m_leaderSearch.onLeaderReply(from);
     m_hintFollowed = false;
-    m_leaderSearch.setReplicas(namesIn(lease.replicas()));
+    m_leaderSearch.setReplicas(toVmNames(lease.replicas()));
     m_heartbeatSchedule.onLeaseGranted(now);
     if (!m_follower.handleLease(lease)) {
         return;
     }
     if (lease.has_fleet()) {
-        m_fleet = std::make_shared<const v1::FleetTally>(lease.fleet());
+        m_fleetTally = std::make_shared<const v1::FleetTally>(lease.fleet());
     }
     if (!m_hadLease) {
         m_hadLease = true;
@@ -449,27 +451,27 @@
     m_configurationChanged.emit(configuration());
 }
 
-void ControlTask::configurationIsNew()
+void ControlTask::onConfigurationChanged()
 {
     m_configurationChanged.emit(configuration());
-    feedWatchers();
+    updateWatchers();
 }
 
-/// Changes come from the leader's history, not from the updates of this VM: an update may carry whole declarations.
-void ControlTask::feedWatchers()
+/// Sends watchers the changes of the leader's history, not the updates of this VM: an update may have full declarations instead of changes.
+void ControlTask::updateWatchers()
 {
-    if (!m_watchers.any()) {
+    if (!m_watchers.anyOpen()) {
         return;
     }
     m_watchers.sendMoves(m_follower.moves(), m_follower.declarations()->revision());
-    if (m_watchersAsk || m_watchers.oldestSeen() >= m_follower.declarations()->revision()) {
+    if (m_historyRequested || m_watchers.oldestSeenRevision() >= m_follower.declarations()->revision()) {
         return;
     }
-    m_watchersAsk = true;
+    m_historyRequested = true;
     Question question;
-    question.question.mutable_history()->set_after_revision(m_watchers.oldestSeen().value);
+    question.question.mutable_history()->set_after_revision(m_watchers.oldestSeenRevision().value);
     question.answer = [this](const Result<v1::LeaderAnswer> &answer) {
-        m_watchersAsk = false;
+        m_historyRequested = false;
         if (ok(answer)) {
             m_watchers.sendHistory(valueOf(answer).history());
         }
@@ -484,7 +486,7 @@
         .moves = m_follower.moves(),
         .routes = m_follower.routes(),
         .rollouts = m_follower.rollouts(),
-        .fleet = m_fleet,
+        .fleet = m_fleetTally,
         .cells = m_follower.cells(),
         .admitUntil = m_follower.admitUntil(),
         .leaseUntil = m_follower.leaseUntil(),
--- a/src/control/controltask.h
+++ b/src/control/controltask.h
@@ -24,84 +24,84 @@
 namespace cumindyke
 {
 
-/// What a VM must have in force: handed to the other tasks whenever it changes, and whenever the lease is renewed.
+/// The configuration that a VM must have in force. Passed to the other tasks whenever it changes and whenever the lease is renewed.
 struct Configuration
 {
     std::shared_ptr<const Declarations> declarations;
     std::vector<v1::Move> moves;
-    /// Null before the first was published.
+    /// Null before the first publication.
     std::shared_ptr<const v1::RouteTable> routes;
     std::vector<v1::Rollout> rollouts;
-    /// What the leader last made of all entry VMs' tallies; null before the first lease.
+    /// The leader's latest aggregate of all entry VMs' tallies; null before the first lease.
     std::shared_ptr<const v1::FleetTally> fleet;
-    /// Which VM schedules each cell, by the cell's name.
+    /// The assignment of each cell, by the cell's name.
     std::map<std::string, v1::CellAssignment> cells;
     /// New work is admitted only before this time.
     TimePoint admitUntil;
-    /// Cells assigned to this VM are scheduled only before this time: the configuration lease.
+    /// End of the configuration lease: cells assigned to this VM are scheduled only before this time.
     TimePoint leaseUntil;
 };
 
-/// A command for the log, and what to do with its answer (called in the control task's thread).
+/// A command for the log and the callback for its answer, which is called in the control task's thread.
 struct Proposal
 {
     v1::Command command;
     std::function<void(const Result<v1::ProposeReply> &)> answer;
 };
 
-/// A question that only the leader can answer; answered in the control task's thread.
+/// A question that only the leader can answer; the callback is called in the control task's thread.
 struct Question
 {
     v1::LeaderQuestion question;
     std::function<void(const Result<v1::LeaderAnswer> &)> answer;
 };
 
-/// A look at the state of this VM's replica (empty on a VM without one), made in the control task's thread.
+/// Reads the state of this VM's replica (empty on a VM without a replica) in the control task's thread.
 struct StateQuery
 {
-    std::function<void(const StateMachine &)> look;
+    std::function<void(const StateMachine &)> visit;
 };
 
-/// A look at what this VM has in force, made in the control task's thread.
+/// Reads the configuration in force on this VM in the control task's thread.
 struct FollowerQuery
 {
-    std::function<void(const Follower &)> look;
+    std::function<void(const Follower &)> visit;
 };
 
-/// An operator's watch from a revision on.
+/// An operator's watch of the changes after a revision.
 struct Watch
 {
     Revision after;
     std::shared_ptr<EventSink> sink;
 };
 
-/// A subscription to configurations: called in the control task's thread at once and at each change.
+/// A subscription to configurations; called in the control task's thread at once and at each change.
 struct Subscription
 {
-    std::function<void(const Configuration &)> changed;
+    std::function<void(const Configuration &)> onChanged;
 };
 
-/// What this VM's entry counts: goes to the leader with the next beat.
+/// The counts of this VM's entry task, sent to the leader with the next heartbeat.
 struct TallyUpdate
 {
     v1::EntryTally tally;
 };
 
-/// Other VMs to ask for the leader, after a change of the settings.
+/// The VMs to ask for the leader, after a change of the settings.
 struct CandidatesUpdate
 {
     std::vector<VmName> replicas;
 };
 
-/// A graceful shutdown has begun: cells go to other VMs.
+/// A graceful shutdown has begun: the cells of this VM move to other VMs.
 struct DrainStarted
 {
 };
 
-/// The VM's process is about to end: "left" is called once another replica leads, or after the time an election takes.
+/// The VM's process is about to exit: onLeft is called once another replica leads, or after a timeout that covers an election.
 struct DepartureRequest
 {
-    std::function<void()> left;
+    std::function<void()> onLeft;
 };
 
 using ControlMessage = std::
@@ -111,70 +111,70 @@
 {
     VmName vm;
     DataCentreName dataCentre;
-    /// Empty on a VM without a disk: it holds no replica.
+    /// Empty on a VM without a disk, which has no replica.
     std::string dataFolder;
-    /// The first replicas of the log; used only when the data folder is new.
+    /// The first replicas of the log; used only if the data folder is new.
     std::vector<VmName> replicas;
     /// The other VMs.
     std::map<VmName, Address> peers;
-    /// This VM, as operators see it.
+    /// Address of this VM that operators see.
     Address address;
-    /// On a new data folder, whether the replicas may form the first cluster. Otherwise this VM waits until a leader admits it.
+    /// Whether the replicas may form the first cluster if the data folder is new. Otherwise this VM waits until a leader admits it.
     bool formCluster = true;
-    /// Voters that the log grows to while VMs with disks offer themselves; 0: as many as replicas names.
+    /// Number of voters to which the log grows while VMs with disks offer themselves; 0: the number of replicas.
     std::size_t wantedVoters = 0;
     /// How long work is admitted under the last configuration after the lease; docs/notes/quorum-loss.md.
     Duration keepAdmitting = Duration::zero();
-    /// A published configuration is confirmed when it is certain to be in force everywhere this much later.
+    /// A published configuration is confirmed when it is certain to be in force on every VM this long after the confirmation.
     Duration confirmWithin = std::chrono::seconds(2);
-    /// A replica of the log that was silent for so long is replaced by another VM with a disk.
+    /// A replica of the log that has not replied for this time is replaced by another VM with a disk.
     Duration replaceReplicaAfter = std::chrono::seconds(30);
-    /// Where beats and leases come in and, on other VMs, go to; without it they go by "send".
+    /// Address and port for heartbeats and leases by datagram, with the same port on the other VMs; if not set, they go by "send".
     std::optional<Address> datagrams;
     std::optional<DistributionMetrics> metrics;
     PeerSender send;
 };
 
-/// Owns the log and the state machine, and this VM's part in configuration leases. Other tasks talk to it by post().
+/// Owns the log and the state machine, and this VM's side of configuration leases. Other tasks communicate with it by post().
 class ControlTask
 {
 public:
-    /// Recovers the state from the data folder. Errors: Storage; Unavailable, when the address for datagrams can't be bound.
+    /// Recovers the state from the data folder. Errors: Storage; Unavailable if the address for datagrams can't be bound.
     static Result<std::unique_ptr<ControlTask>> open(ControlOptions options);
     ~ControlTask();
     ControlTask(const ControlTask &) = delete;
     ControlTask &operator=(const ControlTask &) = delete;
 
-    /// Starts the task's thread, and with it the beats. Call when peers can reach this VM: the answer to the first beat may be a configuration that
-    /// another VM brings at once, and what it can't deliver is sent again a second later at the soonest.
+    /// Starts the task's thread and the heartbeats. To be called when peers can reach this VM: the leader may answer the first heartbeat with a
+    /// configuration that another VM relays at once, and an update that can't be delivered is sent again only after a second.
     void start();
-    /// Ends the task's thread; what is posted from then on is not handled. Safe to call again.
+    /// Ends the task's thread; messages posted afterwards are not handled. May be called more than once.
     void stop();
-    /// Safe from any thread.
+    /// May be called from any thread.
     void post(ControlMessage message);
 
 private:
-    /// What an accepted command's answer waits for.
-    enum class AnswerWhen {
+    /// When an accepted command is answered.
+    enum class ReplyCondition {
         Decided,
-        InForce, ///< every VM has it, or has stopped admitting work
-        Confirmed, ///< it is certain that every VM will have it, or have stopped, in time
+        InForce, ///< every VM has its version in force or has stopped admitting work
+        Confirmed, ///< it is certain that each VM will have it in force or stop admitting work in time
     };
-    static AnswerWhen answerWhen(const v1::Command &command);
+    static ReplyCondition replyConditionFor(const v1::Command &command);
 
     explicit ControlTask(ControlOptions options);
     std::optional<Error> openDatagrams();
     std::optional<Error> recover();
     void tick();
-    void take(PeerMessage &message);
-    /// For beats and their answers.
-    void sendSignal(const VmName &to, v1::Envelope envelope);
+    void handlePeerMessage(PeerMessage &message);
+    /// Sends an envelope by datagram if that is possible for it, otherwise by a call.
+    void sendPreferringDatagrams(const VmName &to, v1::Envelope envelope);
 
     // The log.
     void connectLog();
     void applyEntry(raft::Index index, raft::Term term, const std::string &bytes);
     void flushLog();
-    void followLeadership(TimePoint now);
+    void updateLeadership(TimePoint now);
 
     void handle(Proposal &proposal);
     void handle(Question &question);
@@ -182,72 +182,72 @@
     void handle(FollowerQuery &query);
     void handle(Watch &watch);
     void handle(Subscription &subscription);
-    void handle(TallyUpdate &notice);
-    void handle(CandidatesUpdate &notice);
-    void handle(DrainStarted &notice);
-    void handle(DepartureRequest &notice);
+    void handle(TallyUpdate &update);
+    void handle(CandidatesUpdate &update);
+    void handle(DrainStarted &message);
+    void handle(DepartureRequest &request);
     void handle(PeerMessage &message);
 
     // The leader's side.
     bool hasQuorum(TimePoint now) const;
     void propose(v1::Command command, const std::function<void(const Result<v1::ProposeReply> &)> &answer);
-    void proposeHere(const VmName &from, const v1::ProposeRequest &request);
-    void answerQuestion(const VmName &from, const v1::ProposeRequest &request, TimePoint now);
-    void answerDecided(const VmName &from, std::uint64_t call, AnswerWhen when, const v1::ProposeReply &reply);
+    void handleProposeRequest(const VmName &from, const v1::ProposeRequest &request);
+    void replyToQuestion(const VmName &from, const v1::ProposeRequest &request, TimePoint now);
+    void replyOnCondition(const VmName &from, std::uint64_t call, ReplyCondition condition, const v1::ProposeReply &reply);
     void replyWhenConfirmed(const VmName &from, std::uint64_t call, const v1::ProposeReply &reply);
     void replyWhenInForce(const VmName &from, std::uint64_t call, const v1::ProposeReply &reply);
     void sendReply(const VmName &to, std::uint64_t call, v1::ProposeReply reply);
-    std::optional<v1::LeaderAnswer> answerHere(const v1::LeaderQuestion &question, TimePoint now) const;
-    std::string hintFor(const VmName &asking) const;
-    void takeBeat(const VmName &from, const v1::ConfigHeartbeat &heartbeat);
-    void sendHint(const VmName &to, const v1::ConfigHeartbeat &heartbeat, const std::string &leader);
-    void answerWaitingBeats(TimePoint now);
+    std::optional<v1::LeaderAnswer> makeAnswer(const v1::LeaderQuestion &question, TimePoint now) const;
+    std::string leaderHintFor(const VmName &requester) const;
+    void handleHeartbeat(const VmName &from, const v1::ConfigHeartbeat &heartbeat);
+    void sendLeaderHint(const VmName &to, const v1::ConfigHeartbeat &heartbeat, const std::string &leader);
+    void answerDeferredHeartbeats(TimePoint now);
 
     // The VM's side.
-    void decideMoves(TimePoint now);
+    void proposeVerdictsAndBurn(TimePoint now);
     void proposeRolloutVerdicts();
-    void leaveIfReplaced(TimePoint now);
-    void takeOutcomes(const VmName &from, v1::Envelope &envelope);
-    void askForLease(TimePoint now);
+    void completeDepartureIfDue(TimePoint now);
+    void handleOutcomeReport(const VmName &from, v1::Envelope &envelope);
+    void requestLease(TimePoint now);
     void sendHeartbeat(TimePoint now);
-    void sendDue(TimePoint now);
+    void sendDueRequests(TimePoint now);
     void handleUpdate(const v1::ConfigUpdate &update);
-    void takeLease(const VmName &from, const v1::ConfigLease &lease);
-    void configurationIsNew();
-    void feedWatchers();
+    void handleLease(const VmName &from, const v1::ConfigLease &lease);
+    void onConfigurationChanged();
+    void updateWatchers();
     Configuration configuration() const;
 
     const ControlOptions m_options;
     EventLoop m_loop;
     Mailbox<ControlMessage> m_mailbox;
-    /// Null where beats and leases go by calls.
+    /// Null if heartbeats and leases go by calls.
     std::unique_ptr<PeerDatagrams> m_datagrams;
-    Timer m_tick;
+    Timer m_tickTimer;
     StateMachine m_state;
     /// Null on a VM without a data folder.
     std::unique_ptr<raft::ReplicatedLog> m_log;
-    Timer m_flush;
+    Timer m_flushTimer;
     PendingProposals m_pendingProposals;
     Leadership m_leadership;
-    /// The last beat of each VM that this one could neither grant a lease nor name a leader: answered when there is one.
-    std::map<VmName, v1::ConfigHeartbeat> m_unansweredBeats;
+    /// The last heartbeat of each VM to which this VM could neither grant a lease nor name a leader; answered when there is a leader.
+    std::map<VmName, v1::ConfigHeartbeat> m_deferredHeartbeats;
     MoveLeader m_moveLeader;
-    TimePoint m_nextLook{};
-    raft::Term m_ledTerm = 0;
+    TimePoint m_nextVerdictsAt{};
+    raft::Term m_leadingTerm = 0;
     OrderRunner m_orderRunner;
     LeaderSearch m_leaderSearch;
     Forwarder m_forwarder;
     Follower m_follower;
     Watchers m_watchers;
-    bool m_watchersAsk = false;
+    bool m_historyRequested = false;
     HeartbeatSchedule m_heartbeatSchedule;
-    /// A hint was followed since another candidate was asked, or since the last lease.
+    /// Whether a hint was followed since another candidate was asked or since the last lease.
     bool m_hintFollowed = false;
     bool m_hadLease = false;
-    std::function<void()> m_left;
-    TimePoint m_leaveBy{};
-    std::optional<v1::EntryTally> m_tally;
-    std::shared_ptr<const v1::FleetTally> m_fleet;
+    std::function<void()> m_onLeft;
+    TimePoint m_departureDeadline{};
+    std::optional<v1::EntryTally> m_entryTally;
+    std::shared_ptr<const v1::FleetTally> m_fleetTally;
     sigc::signal<void, const Configuration &> m_configurationChanged;
     std::thread m_thread;
 };
--- a/src/control/controltaskleader.cpp
+++ b/src/control/controltaskleader.cpp
@@ -1,4 +1,4 @@
-// The control task's part on the VMs that hold the log, and what only the leader does.
+// The control task's functions on the VMs that hold the log, and those of the leader only.
 
 #include "control/controltask.h"
 
@@ -16,21 +16,21 @@
 namespace
 {
 
-/// Several times the VMs of the largest system.
-constexpr std::size_t MostUnansweredBeats = 2000;
+/// Several times the number of VMs of the largest system.
+constexpr std::size_t MaxDeferredHeartbeats = 2000;
 
 }
 
 std::optional<Error> ControlTask::recover()
 {
-    const bool named = std::ranges::find(m_options.replicas, m_options.vm) != m_options.replicas.end();
+    const bool isNamedReplica = std::ranges::find(m_options.replicas, m_options.vm) != m_options.replicas.end();
     if (m_options.dataFolder.empty()) {
         const Error noFolder{ErrorKind::Invalid, "replicas names this VM, which has no data_folder: set one, or name other VMs in replicas on every VM"};
-        return named ? std::optional(noFolder) : std::nullopt;
+        return isNamedReplica ? std::optional(noFolder) : std::nullopt;
     }
     raft::ReplicatedLogOptions logOptions{.vm = m_options.vm, .dataFolder = m_options.dataFolder, .initialVoters = m_options.replicas, .send = {}};
-    // A VM without a replica offers itself every second. To every peer, that cost each VM traffic in proportion to all VMs; only the leader
-    // takes an offer, and while it is not known the search asks all in turn.
+    // A VM without a replica offers itself as one every second. Only the leader acts on an offer, so it is sent only to the presumed leader, which is
+    // each candidate in turn while the leader is unknown. Sent to every peer, offers cost each VM traffic in proportion to the number of VMs.
     logOptions.send = [this](const VmName &to, v1::Envelope envelope) {
         if (envelope.raft().kind() != v1::RaftMessage::STANDBY || to == m_leaderSearch.leader()) {
             m_options.send(to, std::move(envelope));
@@ -54,20 +54,20 @@
 
 void ControlTask::connectLog()
 {
-    const auto die = [](const Error &error) {
+    const auto terminate = [](const Error &error) {
         logWarning("control", "stopped-by-storage", {{"error", error.message}});
         stopLog();
-        // What the disk holds is no longer known. A process that went on could promise what it doesn't keep; a restart recovers
-        // what was synced, and the other replicas go on meanwhile.
+        // The content of the disk is unknown. A process that continued could promise what it doesn't keep; a restart recovers what was synced, and
+        // the other replicas continue meanwhile.
         std::_Exit(EXIT_FAILURE);
     };
-    m_log->failed().connect(die);
-    m_log->flushRequested().connect([this] { m_flush.startOnce(Duration::zero()); });
+    m_log->failed().connect(terminate);
+    m_log->flushRequested().connect([this] { m_flushTimer.startOnce(Duration::zero()); });
     m_log->applied().connect(sigc::mem_fun(*this, &ControlTask::applyEntry));
     m_log->snapshotRequested().connect([this] { return m_state.snapshot(); });
-    m_log->snapshotInstalled().connect([this, die](const std::string &bytes) {
+    m_log->snapshotInstalled().connect([this, terminate](const std::string &bytes) {
         if (const Result<Done> restored = m_state.restore(bytes); !ok(restored)) {
-            die(errorOf(restored));
+            terminate(errorOf(restored));
         }
     });
     m_log->leaderChanged().connect([this](const std::optional<VmName> &leader) {
@@ -82,11 +82,11 @@
 {
     v1::ProposeReply reply;
     v1::Command command;
-    // Empty on the log's own entries.
+    // Empty in the log's own entries.
     if (!bytes.empty() && command.ParseFromString(bytes)) {
-        const Revision before = m_state.declarations().revision();
+        const Revision previousRevision = m_state.declarations().revision();
         reply = m_state.apply(command);
-        if (m_leadership.isLeading() && m_state.declarations().revision() != before) {
+        if (m_leadership.isLeading() && m_state.declarations().revision() != previousRevision) {
             m_orderRunner.setDeclarations(m_state.declarations());
             logChange("control", "revision-accepted", {{"revision", std::to_string(m_state.declarations().revision().value)}});
         }
@@ -98,27 +98,27 @@
 {
     const TimePoint now = EventLoop::now();
     m_log->flush(now);
-    followLeadership(now);
+    updateLeadership(now);
     m_leadership.publishIfChanged(now);
     m_pendingProposals.deliverAnswers();
 }
 
-/// This VM leads from the moment it has applied everything that earlier leaders committed. Led again in another term, it begins anew:
-/// another VM may have led in between, and granted leases that this one knows nothing of.
-void ControlTask::followLeadership(TimePoint now)
+/// Starts leading once this VM has applied everything that earlier leaders committed. If it leads again in a later term, it starts anew: another VM
+/// may have led in between and granted leases unknown to this one.
+void ControlTask::updateLeadership(TimePoint now)
 {
-    if (m_leadership.isLeading() && (!m_log->isLeader() || m_log->term() != m_ledTerm)) {
+    if (m_leadership.isLeading() && (!m_log->isLeader() || m_log->term() != m_leadingTerm)) {
         m_leadership.stopLeading();
         m_orderRunner.stopLeading();
         m_pendingProposals.discardAll();
     }
     if (!m_leadership.isLeading() && m_log->isLeader() && m_log->hasReadableState(now)) {
-        m_ledTerm = m_log->term();
+        m_leadingTerm = m_log->term();
         m_leadership.startLeading(now);
         m_orderRunner.setDeclarations(m_state.declarations());
-        m_orderRunner.startLeading(Epoch{m_ledTerm}, now + LeaseOptions{}.maxLength());
+        m_orderRunner.startLeading(Epoch{m_leadingTerm}, now + LeaseOptions{}.maxLength());
     }
-    answerWaitingBeats(now);
+    answerDeferredHeartbeats(now);
 }
 
 bool ControlTask::hasQuorum(TimePoint now) const
@@ -131,40 +131,40 @@
     command.set_at_ms(EventLoop::wallNow().value);
     const std::optional<raft::Index> index = m_log ? m_log->propose(command.SerializeAsString(), EventLoop::now()) : std::nullopt;
     if (!index) {
-        answer(Error{ErrorKind::Unavailable, "this VM doesn't lead the control replicas: send the command again"});
+        answer(Error{ErrorKind::Unavailable, "this VM doesn't lead the control replicas: resend the command"});
         return;
     }
     m_pendingProposals.add(*index, m_log->term(), command.command_id(), answer);
 }
 
-void ControlTask::proposeHere(const VmName &from, const v1::ProposeRequest &request)
+void ControlTask::handleProposeRequest(const VmName &from, const v1::ProposeRequest &request)
 {
     const TimePoint now = EventLoop::now();
     const std::uint64_t call = request.call();
     if (!m_leadership.isLeading() || !hasQuorum(now)) {
         v1::ProposeReply hint;
-        hint.set_leader(hintFor(from));
+        hint.set_leader(leaderHintFor(from));
         sendReply(from, call, std::move(hint));
         return;
     }
     if (request.has_question()) {
-        answerQuestion(from, request, now);
+        replyToQuestion(from, request, now);
         return;
     }
     v1::Command command;
     if (!command.ParseFromString(request.command())) {
         return;
     }
-    const AnswerWhen when = answerWhen(command);
-    // A resend of a large configuration would make the log longer by all of it.
+    const ReplyCondition condition = replyConditionFor(command);
+    // A resend of a large configuration must not append all of it to the log again.
     if (const v1::ProposeReply *known = m_state.savedAnswer(command.command_id())) {
-        answerDecided(from, call, when, *known);
+        replyOnCondition(from, call, condition, *known);
         return;
     }
-    const auto answer = [this, from, call, when](const Result<v1::ProposeReply> &result) {
-        // Nothing is sent on a failure: whether the command is in the log is unknown, and the resend finds out.
+    const auto answer = [this, from, call, condition](const Result<v1::ProposeReply> &result) {
+        // No reply is sent on a failure: whether the command is in the log is unknown, and the resend finds out.
         if (ok(result)) {
-            answerDecided(from, call, when, valueOf(result));
+            replyOnCondition(from, call, condition, valueOf(result));
         }
     };
     if (!m_pendingProposals.attach(command.command_id(), answer)) {
@@ -172,37 +172,37 @@
     }
 }
 
-void ControlTask::answerQuestion(const VmName &from, const v1::ProposeRequest &request, TimePoint now)
+void ControlTask::replyToQuestion(const VmName &from, const v1::ProposeRequest &request, TimePoint now)
 {
-    if (std::optional<v1::LeaderAnswer> answer = answerHere(request.question(), now)) {
+    if (std::optional<v1::LeaderAnswer> answer = makeAnswer(request.question(), now)) {
         v1::ProposeReply reply;
         *reply.mutable_answer() = std::move(*answer);
         sendReply(from, request.call(), std::move(reply));
     }
 }
 
-ControlTask::AnswerWhen ControlTask::answerWhen(const v1::Command &command)
+ControlTask::ReplyCondition ControlTask::replyConditionFor(const v1::Command &command)
 {
     if (command.has_publish_routes()) {
-        return AnswerWhen::Confirmed;
+        return ReplyCondition::Confirmed;
     }
-    return command.apply().wait() ? AnswerWhen::InForce : AnswerWhen::Decided;
+    return command.apply().wait() ? ReplyCondition::InForce : ReplyCondition::Decided;
 }
 
-void ControlTask::answerDecided(const VmName &from, std::uint64_t call, AnswerWhen when, const v1::ProposeReply &reply)
+void ControlTask::replyOnCondition(const VmName &from, std::uint64_t call, ReplyCondition condition, const v1::ProposeReply &reply)
 {
     const bool accepted = reply.reply().outcome() == v1::CommandReply::ACCEPTED;
-    if (accepted && when == AnswerWhen::Confirmed) {
+    if (accepted && condition == ReplyCondition::Confirmed) {
         replyWhenConfirmed(from, call, reply);
-    } else if (accepted && when == AnswerWhen::InForce) {
+    } else if (accepted && condition == ReplyCondition::InForce) {
         replyWhenInForce(from, call, reply);
     } else {
         sendReply(from, call, reply);
     }
 }
 
-/// A confirmation at once would leave a VM that lacks the version the grace, its lease and what it goes on admitting after it: callers would be served
-/// under the old configuration for longer than operators may count on.
+/// Replies when the version is confirmed. An immediate reply would leave a VM without the version the grace, its lease and the time that it admits
+/// work after it: callers would be served under the old configuration for longer than operators may assume.
 void ControlTask::replyWhenConfirmed(const VmName &from, std::uint64_t call, const v1::ProposeReply &reply)
 {
     m_leadership.notifyWhenConfirmed([this, from, call, reply] { sendReply(from, call, reply); }, EventLoop::now());
@@ -210,12 +210,12 @@
 
 void ControlTask::replyWhenInForce(const VmName &from, std::uint64_t call, const v1::ProposeReply &reply)
 {
-    const auto inForce = [this, from, call, reply](const std::vector<std::string> &lapsed) {
-        v1::ProposeReply waited = reply;
-        waited.mutable_reply()->mutable_lapsed_vms()->Assign(lapsed.begin(), lapsed.end());
-        sendReply(from, call, std::move(waited));
+    const auto onInForce = [this, from, call, reply](const std::vector<std::string> &lapsed) {
+        v1::ProposeReply replyWithLapsed = reply;
+        replyWithLapsed.mutable_reply()->mutable_lapsed_vms()->Assign(lapsed.begin(), lapsed.end());
+        sendReply(from, call, std::move(replyWithLapsed));
     };
-    m_leadership.notifyWhenInForce(inForce, EventLoop::now());
+    m_leadership.notifyWhenInForce(onInForce, EventLoop::now());
 }
 
 void ControlTask::sendReply(const VmName &to, std::uint64_t call, v1::ProposeReply reply)
@@ -226,7 +226,7 @@
     m_options.send(to, std::move(envelope));
 }
 
-std::optional<v1::LeaderAnswer> ControlTask::answerHere(const v1::LeaderQuestion &question, TimePoint now) const
+std::optional<v1::LeaderAnswer> ControlTask::makeAnswer(const v1::LeaderQuestion &question, TimePoint now) const
 {
     v1::LeaderAnswer answer;
     switch (question.question_case()) {
@@ -252,7 +252,7 @@
     case v1::LeaderQuestion::kChangeMembers:
         answer.mutable_change_members()->set_outcome(v1::CommandReply::INVALID);
         answer.mutable_change_members()->set_message(
-            "replicas are not changed by hand: one that is silent for replace_replica_after_ms is replaced by a VM with a data_folder");
+            "replicas are not changed by hand: one that does not reply for replace_replica_after_ms is replaced by a VM with a data_folder");
         return answer;
     case v1::LeaderQuestion::kReport:
         answer.mutable_report()->set_burn_json(burnJson(m_state.declarations(), m_state.burn(), fromWire(m_state.moves()), EventLoop::wallNow()));
@@ -269,52 +269,52 @@
     return {};
 }
 
-/// Empty when this VM knows no better.
-std::string ControlTask::hintFor(const VmName &asking) const
+/// Returns the leader to name to a VM; empty if none is known, or if it would be the requesting VM or this one.
+std::string ControlTask::leaderHintFor(const VmName &requester) const
 {
     const VmName leader = m_leaderSearch.hint().value_or(VmName{});
-    return leader == asking || leader == m_options.vm ? "" : leader.value;
+    return leader == requester || leader == m_options.vm ? "" : leader.value;
 }
 
-void ControlTask::takeBeat(const VmName &from, const v1::ConfigHeartbeat &heartbeat)
+void ControlTask::handleHeartbeat(const VmName &from, const v1::ConfigHeartbeat &heartbeat)
 {
     if (m_leadership.isLeading()) {
         m_leadership.handleHeartbeat(from, heartbeat, EventLoop::now());
         return;
     }
-    const std::string leader = hintFor(from);
-    if (leader.empty() && m_log && m_unansweredBeats.size() < MostUnansweredBeats) {
-        m_unansweredBeats[from] = heartbeat;
+    const std::string leader = leaderHintFor(from);
+    if (leader.empty() && m_log && m_deferredHeartbeats.size() < MaxDeferredHeartbeats) {
+        m_deferredHeartbeats[from] = heartbeat;
     }
-    sendHint(from, heartbeat, leader);
+    sendLeaderHint(from, heartbeat, leader);
 }
 
-void ControlTask::sendHint(const VmName &to, const v1::ConfigHeartbeat &heartbeat, const std::string &leader)
+void ControlTask::sendLeaderHint(const VmName &to, const v1::ConfigHeartbeat &heartbeat, const std::string &leader)
 {
     v1::Envelope hint;
     hint.mutable_config_lease()->set_beat(heartbeat.beat());
     hint.mutable_config_lease()->set_leader(leader);
-    sendSignal(to, std::move(hint));
+    sendPreferringDatagrams(to, std::move(hint));
 }
 
-/// A VM that asked while nobody led would ask again only after its search has gone round: a quarter of a second more in which it refuses
-/// every caller. It is told at once when there is a leader. A lease counts from the beat, so an old beat does no harm.
-void ControlTask::answerWaitingBeats(TimePoint now)
+/// Answers heartbeats that arrived while there was no leader, as soon as there is one. Otherwise their VMs would ask again only after their search
+/// has gone round, refusing every caller for a quarter of a second longer. A lease counts from the heartbeat, so an old heartbeat does no harm.
+void ControlTask::answerDeferredHeartbeats(TimePoint now)
 {
-    if (m_unansweredBeats.empty()) {
+    if (m_deferredHeartbeats.empty()) {
         return;
     }
-    const bool leads = m_leadership.isLeading();
+    const bool isLeading = m_leadership.isLeading();
     const VmName leader = m_leaderSearch.hint().value_or(VmName{});
-    if (!leads && (leader.value.empty() || leader == m_options.vm)) {
+    if (!isLeading && (leader.value.empty() || leader == m_options.vm)) {
         return;
     }
-    const std::map<VmName, v1::ConfigHeartbeat> waiting = std::exchange(m_unansweredBeats, {});
-    for (const auto &[vm, heartbeat] : waiting) {
-        if (leads) {
+    const std::map<VmName, v1::ConfigHeartbeat> deferred = std::exchange(m_deferredHeartbeats, {});
+    for (const auto &[vm, heartbeat] : deferred) {
+        if (isLeading) {
             m_leadership.handleHeartbeat(vm, heartbeat, now);
         } else {
-            sendHint(vm, heartbeat, leader.value);
+            sendLeaderHint(vm, heartbeat, leader.value);
         }
     }
 }
--- a/src/control/forwarder.cpp
+++ b/src/control/forwarder.cpp
@@ -42,7 +42,7 @@
     }
     for (const Answer &answer : expired) {
         answer(
-            Error{ErrorKind::Unavailable, "the control replicas did not decide in time, and may still: send the same command again with the same command id"});
+            Error{ErrorKind::Unavailable, "the control replicas did not decide in time but may still do so: resend the same command with the same command id"});
     }
     return outgoing;
 }
--- a/src/control/operatorhandlers.cpp
+++ b/src/control/operatorhandlers.cpp
@@ -24,49 +24,49 @@
     });
 }
 
-/// Asks the leader and answers the call with the part of its answer that the call is about.
+/// Asks the leader and answers the call with the given field of the leader's answer.
 template<typename Reply>
-void ask(ControlTask &control, const v1::LeaderQuestion &question, const ReplyCallback<Reply> &answer, const Reply &(v1::LeaderAnswer::*part)() const)
+void askLeader(ControlTask &control, const v1::LeaderQuestion &question, const ReplyCallback<Reply> &answer, const Reply &(v1::LeaderAnswer::*field)() const)
 {
     control.post(Question{
         .question = question,
         .answer =
-            [answer, part](const Result<v1::LeaderAnswer> &result) {
+            [answer, field](const Result<v1::LeaderAnswer> &result) {
                 if (!ok(result)) {
                     answer(errorOf(result));
                     return;
                 }
-                answer((valueOf(result).*part)());
+                answer((valueOf(result).*field)());
             },
     });
 }
 
-void addQuestions(OperatorHandlers &handlers, ControlTask &control)
+void addLeaderQuestions(OperatorHandlers &handlers, ControlTask &control)
 {
     handlers.history = [&control](const v1::HistoryRequest &request, const ReplyCallback<v1::HistoryReply> &answer) {
         v1::LeaderQuestion question;
         *question.mutable_history() = request;
-        ask(control, question, answer, &v1::LeaderAnswer::history);
+        askLeader(control, question, answer, &v1::LeaderAnswer::history);
     };
     handlers.members = [&control](const v1::MembersRequest & /*request*/, const ReplyCallback<v1::MembersReply> &answer) {
         v1::LeaderQuestion question;
         question.mutable_members();
-        ask(control, question, answer, &v1::LeaderAnswer::members);
+        askLeader(control, question, answer, &v1::LeaderAnswer::members);
     };
     handlers.changeMembers = [&control](const v1::ChangeMembersRequest &request, const ReplyCallback<v1::CommandReply> &answer) {
         v1::LeaderQuestion question;
         *question.mutable_change_members() = request;
-        ask(control, question, answer, &v1::LeaderAnswer::change_members);
+        askLeader(control, question, answer, &v1::LeaderAnswer::change_members);
     };
     handlers.report = [&control](const v1::ReportRequest &request, const ReplyCallback<v1::ReportReply> &answer) {
         v1::LeaderQuestion question;
         *question.mutable_report() = request;
-        ask(control, question, answer, &v1::LeaderAnswer::report);
+        askLeader(control, question, answer, &v1::LeaderAnswer::report);
     };
     handlers.saveSnapshot = [&control](const v1::SaveSnapshotRequest & /*request*/, const ReplyCallback<v1::SaveSnapshotReply> &answer) {
         v1::LeaderQuestion question;
         question.mutable_save_snapshot();
-        ask(control, question, answer, &v1::LeaderAnswer::save_snapshot);
+        askLeader(control, question, answer, &v1::LeaderAnswer::save_snapshot);
     };
 }
 
@@ -112,7 +112,7 @@
         *command.mutable_restore() = request;
         propose(control, std::move(command), answer);
     };
-    addQuestions(handlers, control);
+    addLeaderQuestions(handlers, control);
     return handlers;
 }
 
--- a/src/control/operatorhandlers.h
+++ b/src/control/operatorhandlers.h
@@ -6,7 +6,7 @@
 namespace cumindyke
 {
 
-/// Serves operators' calls by posting them to the control task, which must outlive the server that calls these.
+/// Returns handlers that serve operators' calls by posting to the control task, which must outlive the server that calls them.
 OperatorHandlers operatorHandlers(ControlTask &control);
 
 }
--- a/src/control/routechanges.cpp
+++ b/src/control/routechanges.cpp
@@ -125,7 +125,7 @@
     *after.mutable_services() = itemsAfterChange(before.services(), change.services(), change.removed_services());
     *after.mutable_organisations() = itemsAfterChange(before.organisations(), change.organisations(), change.removed_organisations());
     if (contentChecksum(after) != change.content_checksum()) {
-        return Error{ErrorKind::Invalid, "the change was made for another route table: ask for the whole one"};
+        return Error{ErrorKind::Invalid, "the change was made for another route table: request the whole table"};
     }
     return after;
 }
--- a/src/control/routehistory.cpp
+++ b/src/control/routehistory.cpp
@@ -118,7 +118,7 @@
             continue;
         }
         if (packed.from_version() != version) {
-            return Error{ErrorKind::Invalid, "changes before these are missing: ask for them"};
+            return Error{ErrorKind::Invalid, "changes before these are missing: request them"};
         }
         const Result<v1::RouteTableChange> change = unpackMessage<v1::RouteTableChange>(packed.packed());
         if (!ok(change)) {
@@ -131,7 +131,7 @@
         table = std::make_shared<const v1::RouteTable>(std::move(valueOf(next)));
     }
     if (!table || table->version() != update.version()) {
-        return Error{ErrorKind::Invalid, "the changes don't lead to the version that they were sent for: ask for the whole table"};
+        return Error{ErrorKind::Invalid, "the changes don't lead to the version that they were sent for: request the whole table"};
     }
     return table;
 }
--- a/src/control/watchers.h
+++ b/src/control/watchers.h
@@ -17,18 +17,18 @@
 {
 public:
     void add(Revision after, std::shared_ptr<EventSink> sink);
-    /// Forgets operators who have left; false when none remains.
-    bool any();
-    /// The revision that the furthest behind has seen.
-    Revision oldestSeen() const;
+    /// Removes watchers whose connection is closed; returns whether any remain.
+    bool anyOpen();
+    /// Returns the lowest of the last revisions sent to each watcher.
+    Revision oldestSeenRevision() const;
     void sendHistory(const v1::HistoryReply &history);
     void sendMoves(const std::vector<v1::Move> &moves, Revision inForce);
 
 private:
     struct Watcher
     {
-        Revision seen;
-        std::map<std::string, std::string> moves;
+        Revision seenRevision;
+        std::map<std::string, std::string> sentMoves;
         std::shared_ptr<EventSink> sink;
     };
 
--- a/tests/control/clusterprocesstest.cpp
+++ b/tests/control/clusterprocesstest.cpp
@@ -11,9 +11,9 @@
 using namespace cumindyke;
 using namespace cumindyke::test;
 
-// A VM is cut off silently: its connections stay open and carry nothing. Its callers would be served under a configuration that nobody
-// else has. It must become unready (and an apply that waits must say that it is left out), and come back by itself with the change.
-TEST_CASE("a VM that is cut off silently is unready, and comes back with what was accepted meanwhile")
+// Guards against a VM that serves callers under an outdated configuration while its connections stay open without carrying data. It must become
+// unready, an apply that waits must list it as lapsed, and it must become ready again by itself with the change in force.
+TEST_CASE("a VM that is cut off silently becomes unready, and ready again with the changes accepted meanwhile")
 {
     ProcessCluster cluster(4);
     REQUIRE(cluster.apply(2, 1).exitCode == 0);
@@ -34,9 +34,9 @@
     CHECK(cluster.revisionOn(4) == 2);
 }
 
-// Something between the VMs has lost track of the open connections; new ones work. Callers must not be refused for good: the VM notices
-// that nothing comes back and opens new connections.
-TEST_CASE("a VM whose open connections went silent for good is ready again over new ones")
+// Guards against a VM that refuses callers for ever because its open connections carry no data any more, for example after a middlebox lost its
+// state, while new ones work. The VM must open new connections.
+TEST_CASE("a VM whose open connections stop carrying data becomes ready again over new ones")
 {
     ProcessCluster cluster(3);
     REQUIRE(cluster.apply(1, 1).exitCode == 0);
@@ -47,9 +47,9 @@
     CHECK(cluster.waitAllReady());
 }
 
-// Two operators change declarations under one revision, at different VMs, at the same time. One is told that it won, the other that it
-// lost, and to whom.
-TEST_CASE("of two operators at two VMs exactly one wins")
+// Of two operators who change declarations under one revision at two VMs at the same time, one must be told that it won and the other that it lost,
+// and to whom.
+TEST_CASE("of two concurrent changes at two VMs exactly one is accepted")
 {
     ProcessCluster cluster(3);
     REQUIRE(cluster.apply(1, 1).exitCode == 0);
@@ -64,8 +64,7 @@
     CHECK(eventually([&] { return cluster.revisionOn(1) == 2; }));
 }
 
-// The answer to an operator's command is lost on the way. The operator sends it again with its id, to another VM, and gets the first
-// answer: the change was made once.
+// After a lost answer the operator resends the command with its id to another VM. It must get the first answer, and the change must be made once.
 TEST_CASE("a resend after a lost answer gets the first answer from any VM")
 {
     ProcessCluster cluster(3);
@@ -88,9 +87,9 @@
     CHECK(valueOf(history).entries_size() == 2);
 }
 
-// The VM that holds the log is killed. The others must not go on for ever under what they have: they become unready. When it is back they
-// do too, with every accepted change.
-TEST_CASE("VMs without the log's leader become unready, and come back with it")
+// The VM that holds the log is killed. The others must become unready and not serve their configuration for ever; after its restart they must be
+// ready again with every accepted change.
+TEST_CASE("VMs without a leader become unready, and ready again after its restart")
 {
     ProcessCluster cluster(3);
     REQUIRE(cluster.apply(2, 1).exitCode == 0);
--- a/tests/control/operatortoolprocesstest.cpp
+++ b/tests/control/operatortoolprocesstest.cpp
@@ -7,7 +7,7 @@
 using namespace cumindyke;
 using namespace cumindyke::test;
 
-TEST_CASE("every VM shows the members with what is in force on each")
+TEST_CASE("every VM lists the members with the revision in force on each")
 {
     ProcessCluster cluster(3);
     REQUIRE(cluster.apply(1, 1, {"--wait"}).exitCode == 0);
@@ -28,8 +28,8 @@
     CHECK(cluster.daemon(2).ctl({"history", "--output", "json"}).exitCode == 0);
 }
 
-// An operator watches at one VM while others make changes at another: every change comes once, in order, also those from before.
-TEST_CASE("a watch shows every change in order, whichever VM it was made at")
+// A watch at one VM must show changes made at another, each once and in order, including those from before the watch.
+TEST_CASE("a watch shows the changes of all VMs in order")
 {
     ProcessCluster cluster(2);
     REQUIRE(cluster.apply(1, 1).exitCode == 0);
@@ -46,9 +46,8 @@
     CHECK(out.find("revision 3 ") != std::string::npos);
 }
 
-// The operator saves a snapshot, makes changes, and restores it: the old declarations are in force again under a new revision. The same
-// snapshot restored into another system with a history of its own is refused.
-TEST_CASE("a snapshot is saved and restored as a new revision, and refused elsewhere")
+// A restored snapshot must put its declarations in force under a new revision; in a system with another history it must be refused.
+TEST_CASE("a snapshot is restored as a new revision, and refused by another system")
 {
     const TemporaryFolder folder;
     const std::string file = folder.file("snapshot");
--- a/tests/control/processcluster.h
+++ b/tests/control/processcluster.h
@@ -10,7 +10,7 @@
 namespace cumindyke::test
 {
 
-/// Daemons "vm-1" to "vm-N" of which the first holds the log, with a link for each direction between two of them.
+/// Runs daemons "vm-1" to "vm-N", of which the first has the log, with a link for each direction between two of them.
 class ProcessCluster
 {
 public:
@@ -22,12 +22,12 @@
     }
     bool ready(int vm) const;
     bool waitAllReady() const;
-    /// All links from and to a VM.
+    /// Sets the mode of all links from and to a VM.
     void setLinks(int vm, Link::Mode mode);
     void silenceOpenConnections(int vm);
-    /// Writes declarations with some organisations and applies them at a VM.
+    /// Applies declarations with the given number of organisations at a VM.
     Finished apply(int vm, int organisations, std::vector<std::string> more = {});
-    /// The revision in force on a VM; 0 when it can't be asked.
+    /// Returns the revision in force on a VM; 0 if it can't be queried.
     std::uint64_t revisionOn(int vm);
     std::string host(int vm) const
     {
