--- a/src/control/distribution.h
+++ b/src/control/distribution.h
@@ -89,8 +89,8 @@
     bool mayHoldLease(const VmName &vm, TimePoint now) const;
     bool hasInForce(const VmName &vm, std::uint64_t version) const;
 
-    /// Returns whether no VM will admit work under an older version after the time "within": each VM either has this version in force or will have no
-    /// lease by then.
+    /// Returns whether no VM will admit work under an older version after the time "within": each VM either has this version in force or will have
+    /// stopped admitting work by then.
     bool isInForceWithin(std::uint64_t version, Duration within, TimePoint now) const;
     /// Records that the version was confirmed to an operator: from now on no lease is granted without it.
     void recordConfirmation(std::uint64_t version);
--- a/src/control/distributionlog.cpp
+++ b/src/control/distributionlog.cpp
@@ -37,12 +37,12 @@
     }
 }
 
-void DistributionLog::recordConfirmation(std::uint64_t version, Duration waited)
+void DistributionLog::recordConfirmation(std::uint64_t version, Duration waitTime)
 {
-    logChange("control", "version-confirmed", {{"version", std::to_string(version)}, {"after_ms", std::to_string(wholeMilliseconds(waited))}});
+    logChange("control", "version-confirmed", {{"version", std::to_string(version)}, {"after_ms", std::to_string(wholeMilliseconds(waitTime))}});
     if (m_metrics) {
         m_metrics->confirmed.add();
-        m_metrics->confirmationSeconds.observe(std::chrono::duration<double>(waited).count());
+        m_metrics->confirmationSeconds.observe(std::chrono::duration<double>(waitTime).count());
     }
 }
 
--- a/src/control/distributionlog.h
+++ b/src/control/distributionlog.h
@@ -33,7 +33,7 @@
     /// Records an update that was sent as a repair.
     void recordRepair(std::size_t updateBytes);
     /// Records that the version was confirmed after the given wait.
-    void recordConfirmation(std::uint64_t version, Duration waited);
+    void recordConfirmation(std::uint64_t version, Duration waitTime);
     /// Records how many VMs may still admit work under an older version than the last one published (pending) and how many have stopped (lapsed);
     /// logs what is due.
     void recordProgress(std::size_t pending, std::size_t lapsed, TimePoint now);
--- a/src/control/fleetaggregate.cpp
+++ b/src/control/fleetaggregate.cpp
@@ -25,15 +25,15 @@
     return grown;
 }
 
-void add(v1::VersionCounts &total, const v1::VersionCounts &more)
+void add(v1::VersionCounts &total, const v1::VersionCounts &counts)
 {
-    total.set_service(more.service());
-    total.set_version(more.version());
-    total.set_sent(total.sent() + more.sent());
-    total.set_good(total.good() + more.good());
-    total.set_bad(total.bad() + more.bad());
-    total.set_head_ms(total.head_ms() + more.head_ms());
-    total.set_heads(total.heads() + more.heads());
+    total.set_service(counts.service());
+    total.set_version(counts.version());
+    total.set_sent(total.sent() + counts.sent());
+    total.set_good(total.good() + counts.good());
+    total.set_bad(total.bad() + counts.bad());
+    total.set_head_ms(total.head_ms() + counts.head_ms());
+    total.set_heads(total.heads() + counts.heads());
 }
 
 }
@@ -87,7 +87,7 @@
 v1::FleetTally FleetAggregate::buildFleetTally(TimePoint now) const
 {
     v1::FleetTally fleet;
-    std::map<std::string, std::vector<VmName>> placing;
+    std::map<std::string, std::vector<VmName>> placementVms;
     std::uint32_t count = 0;
     for (const auto &[name, vm] : m_vms) {
         if (now - vm.lastSeenAt > VmTimeout) {
@@ -95,11 +95,11 @@
         }
         ++count;
         if (!vm.draining) {
-            placing[vm.dataCentre].push_back(name);
+            placementVms[vm.dataCentre].push_back(name);
         }
     }
     fleet.set_entry_vm_count(count);
-    for (auto &[dataCentre, vms] : placing) {
+    for (auto &[dataCentre, vms] : placementVms) {
         std::ranges::sort(vms, {}, placementOrder);
         vms.resize(std::min(vms.size(), MaxPlacementVmsPerDataCentre));
         for (const VmName &vm : vms) {
--- a/tests/control/processcluster.cpp
+++ b/tests/control/processcluster.cpp
@@ -18,16 +18,16 @@
     : m_count(daemons)
 {
     for (int from = 1; from <= m_count; ++from) {
-        std::string more = "replicas = [\"vm-1\"]\n";
+        std::string settings = "replicas = [\"vm-1\"]\n";
         for (int to = 1; to <= m_count; ++to) {
             if (to == from) {
                 continue;
             }
             const Address link{m_network.host(FirstLinkHost + from * m_count + to), 8081};
             m_links[{from, to}] = std::make_unique<Link>(link, Address{m_network.host(to), 8081});
-            more += "[[peer]]\nvm = \"vm-" + std::to_string(to) + "\"\nrpc_address = \"" + toString(link) + "\"\n";
+            settings += "[[peer]]\nvm = \"vm-" + std::to_string(to) + "\"\nrpc_address = \"" + toString(link) + "\"\n";
         }
-        m_daemons.push_back(std::make_unique<DaemonProcess>(m_folder, "vm-" + std::to_string(from), m_network.host(from), more));
+        m_daemons.push_back(std::make_unique<DaemonProcess>(m_folder, "vm-" + std::to_string(from), m_network.host(from), settings));
     }
 }
 
@@ -75,12 +75,12 @@
     return toml;
 }
 
-Finished ProcessCluster::apply(int vm, int organisations, std::vector<std::string> more)
+Finished ProcessCluster::apply(int vm, int organisations, std::vector<std::string> extraArguments)
 {
     const TemporaryFolder folder;
     writeFile(folder.file("office.toml"), declarations(organisations));
-    more.insert(more.begin(), {"apply", folder.path()});
-    return daemon(vm).ctl(std::move(more));
+    extraArguments.insert(extraArguments.begin(), {"apply", folder.path()});
+    return daemon(vm).ctl(std::move(extraArguments));
 }
 
 std::uint64_t ProcessCluster::revisionOn(int vm)
--- a/tests/control/routehistorytest.cpp
+++ b/tests/control/routehistorytest.cpp
@@ -29,20 +29,20 @@
 
 std::string sorted(const v1::RouteTable &table)
 {
-    std::vector<std::string> parts;
+    std::vector<std::string> items;
     for (const v1::Route &route : table.routes()) {
-        parts.push_back(route.ShortDebugString());
+        items.push_back(route.ShortDebugString());
     }
     for (const v1::RoutedService &service : table.services()) {
-        parts.push_back(service.ShortDebugString());
+        items.push_back(service.ShortDebugString());
     }
     for (const v1::RoutedOrganisation &organisation : table.organisations()) {
-        parts.push_back(organisation.ShortDebugString());
+        items.push_back(organisation.ShortDebugString());
     }
-    std::ranges::sort(parts);
+    std::ranges::sort(items);
     std::string text = std::to_string(table.version());
-    for (const std::string &part : parts) {
-        text += "\n" + part;
+    for (const std::string &item : items) {
+        text += "\n" + item;
     }
     return text;
 }
--- a/tests/control/virtualcluster.cpp
+++ b/tests/control/virtualcluster.cpp
@@ -45,8 +45,8 @@
 TimePoint VirtualCluster::clockOf(int vm) const
 {
     const Vm &record = m_vms[static_cast<std::size_t>(vm)];
-    const auto real = static_cast<double>(m_now.time_since_epoch().count());
-    return TimePoint(Duration(static_cast<Duration::rep>(real * record.clockRate)) + record.clockOffset);
+    const auto realTime = static_cast<double>(m_now.time_since_epoch().count());
+    return TimePoint(Duration(static_cast<Duration::rep>(realTime * record.clockRate)) + record.clockOffset);
 }
 
 void VirtualCluster::startFollower(int vm)
@@ -88,7 +88,7 @@
         }
         const bool delayed = random(1000) < static_cast<std::uint64_t>(m_options.delayedPermille);
         const Duration delay = std::chrono::microseconds(100 + random(delayed ? 3'000'000 : 5'000));
-        m_messages.push(Message{.since = m_now + delay, .number = ++m_messageCount, .from = from, .to = target, .envelope = envelope});
+        m_messages.push(Message{.deliverAt = m_now + delay, .number = ++m_messageCount, .from = from, .to = target, .envelope = envelope});
     }
 }
 
@@ -133,7 +133,7 @@
 void VirtualCluster::step()
 {
     m_now += Step;
-    while (!m_messages.empty() && m_messages.top().since <= m_now) {
+    while (!m_messages.empty() && m_messages.top().deliverAt <= m_now) {
         const Message message = m_messages.top();
         m_messages.pop();
         deliver(message);
@@ -260,10 +260,10 @@
 std::uint64_t VirtualCluster::newestVersionDue(const std::map<std::uint64_t, TimePoint> &versionTimes, Duration bound) const
 {
     // The bound is measured by the leader's clock, which may be slow, and a step late.
-    const Duration latest = bound + bound / 100 + Step;
+    const Duration adjustedBound = bound + bound / 100 + Step;
     std::uint64_t newest = 0;
     for (const auto &[version, since] : versionTimes) {
-        newest = since + latest <= m_now ? std::max(newest, version) : newest;
+        newest = since + adjustedBound <= m_now ? std::max(newest, version) : newest;
     }
     return newest;
 }
--- a/tests/control/virtualcluster.h
+++ b/tests/control/virtualcluster.h
@@ -95,7 +95,7 @@
     };
     struct Message
     {
-        TimePoint since;
+        TimePoint deliverAt;
         std::uint64_t number;
         int from;
         int to;
@@ -103,7 +103,7 @@
 
         bool operator<(const Message &other) const
         {
-            return std::tie(other.since, other.number) < std::tie(since, number);
+            return std::tie(other.deliverAt, other.number) < std::tie(deliverAt, number);
         }
     };
 
