--- a/src/bench/baselinepolicy.cpp
+++ b/src/bench/baselinepolicy.cpp
@@ -7,11 +7,11 @@
 {
 
 constexpr std::uint32_t MaxRefusedConnections = 3;
-constexpr Duration LeftOut = std::chrono::seconds(1);
+constexpr Duration EjectionTime = std::chrono::seconds(1);
 
 }
 
-std::vector<Change> declarationsOf(World &world)
+std::vector<Change> upstreamDeclarations(World &world)
 {
     std::vector<Change> changes;
     for (const ScenarioOrganisation &organisation : world.scenario().organisations) {
@@ -31,38 +31,39 @@
 
 BaselinePolicy::BaselinePolicy(World &world)
     : m_world(world)
-    , m_changes(declarationsOf(world))
+    , m_allDeclarations(upstreamDeclarations(world))
     , m_vms(world.scenario().entryVms)
 {
     for (Vm &vm : m_vms) {
-        vm.declarations = Declarations::restored(Revision{1}, m_changes);
+        vm.declarations = Declarations::restored(Revision{1}, m_allDeclarations);
     }
     for (const BenchUpstream &upstream : world.upstreams()) {
         m_versions.emplace(upstream.service, upstream.version);
     }
-    world.arrived = [this](const BenchRequest &request, TimePoint now) { arrived(request, now); };
-    world.dispatchEnded
-        = [this](const BenchRequest &request, const BenchUpstream &upstream, DispatchEnd end, TimePoint now) { dispatchEnded(request, upstream, end, now); };
+    world.onArrival = [this](const BenchRequest &request, TimePoint now) { handleArrival(request, now); };
+    world.onDispatchEnded = [this](const BenchRequest &request, const BenchUpstream &upstream, DispatchResult result, TimePoint now) {
+        handleDispatchEnd(request, upstream, result, now);
+    };
 }
 
-void BaselinePolicy::arrived(const BenchRequest &request, TimePoint now)
+void BaselinePolicy::handleArrival(const BenchRequest &request, TimePoint now)
 {
     m_vms[request.vm].queues[request.service].push_back(request.index);
-    m_world.at(request.deadline, [this, &request](TimePoint then) {
+    m_world.schedule(request.deadline, [this, &request](TimePoint then) {
         if (!m_world.records()[request.index].upstream) {
             m_world.shed(request, then);
         }
     });
-    serve(request.vm, request.service, now);
+    dispatchQueued(request.vm, request.service, now);
 }
 
-void BaselinePolicy::serve(std::uint32_t index, const ServiceName &service, TimePoint now)
+void BaselinePolicy::dispatchQueued(std::uint32_t index, const ServiceName &service, TimePoint now)
 {
     Vm &vm = m_vms[index];
     std::deque<std::uint32_t> &queue = vm.queues[service];
     while (!queue.empty()) {
         const BenchRequest &request = m_world.requests()[queue.front()];
-        if (m_world.records()[request.index].end != BenchEnd::None) {
+        if (m_world.records()[request.index].result != RequestResult::Pending) {
             queue.pop_front();
             continue;
         }
@@ -76,37 +77,37 @@
     }
 }
 
-void BaselinePolicy::dispatchEnded(const BenchRequest &request, const BenchUpstream &upstream, DispatchEnd end, TimePoint now)
+void BaselinePolicy::handleDispatchEnd(const BenchRequest &request, const BenchUpstream &upstream, DispatchResult result, TimePoint now)
 {
     Vm &vm = m_vms[request.vm];
     vm.capacity.release(Slot{.upstream = upstream.name}, now);
-    if (end == DispatchEnd::NotSent) {
-        leaveOut(vm, upstream.name, now);
-        m_world.at(now + LeftOut, [this, index = request.vm](TimePoint then) { takeBack(index, then); });
+    if (result == DispatchResult::ConnectionRefused) {
+        eject(vm, upstream.name, now);
+        m_world.schedule(now + EjectionTime, [this, index = request.vm](TimePoint then) { updateDeclarations(index, then); });
         if (m_world.records()[request.index].refusedConnections >= MaxRefusedConnections) {
             m_world.shed(request, now);
         } else {
             vm.queues[request.service].push_front(request.index);
         }
     }
-    serve(request.vm, request.service, now);
+    dispatchQueued(request.vm, request.service, now);
 }
 
-void BaselinePolicy::leaveOut(Vm &vm, const UpstreamName &upstream, TimePoint now)
+void BaselinePolicy::eject(Vm &vm, const UpstreamName &upstream, TimePoint now)
 {
-    vm.refusedUntil[upstream] = now + LeftOut;
-    takeBack(static_cast<std::uint32_t>(&vm - m_vms.data()), now);
+    vm.ejectedUntil[upstream] = now + EjectionTime;
+    updateDeclarations(static_cast<std::uint32_t>(&vm - m_vms.data()), now);
 }
 
-/// The declarations without the upstreams that are still left out.
-void BaselinePolicy::takeBack(std::uint32_t index, TimePoint now)
+/// Rebuilds the VM's declarations without the upstreams that are still ejected.
+void BaselinePolicy::updateDeclarations(std::uint32_t index, TimePoint now)
 {
     Vm &vm = m_vms[index];
-    std::erase_if(vm.refusedUntil, [now](const auto &refused) { return refused.second <= now; });
+    std::erase_if(vm.ejectedUntil, [now](const auto &ejected) { return ejected.second <= now; });
     std::vector<Change> changes;
-    for (const Change &change : m_changes) {
+    for (const Change &change : m_allDeclarations) {
         const auto *upstream = std::get_if<Upstream>(&change);
-        if (!upstream || !vm.refusedUntil.contains(upstream->name)) {
+        if (!upstream || !vm.ejectedUntil.contains(upstream->name)) {
             changes.push_back(change);
         }
     }
--- a/src/bench/baselinepolicy.h
+++ b/src/bench/baselinepolicy.h
@@ -10,11 +10,11 @@
 namespace cumindyke
 {
 
-/// The declarations that an experiment's upstreams stand for.
-std::vector<Change> declarationsOf(World &world);
+/// Returns the declarations of the scenario's organisations and upstreams.
+std::vector<Change> upstreamDeclarations(World &world);
 
-/// What a careful team has without coordination: on each entry VM a first-come queue per service and the shipped LeastOutstanding;
-/// an upstream that refused a connection is left out for a second.
+/// The baseline without coordination between VMs: each entry VM has a first-come, first-served queue per service and the shipped
+/// LeastOutstanding, and ejects an upstream that refused a connection for a second.
 class BaselinePolicy
 {
 public:
@@ -26,17 +26,17 @@
         std::map<ServiceName, std::deque<std::uint32_t>> queues;
         LeastOutstanding capacity;
         Declarations declarations;
-        std::map<UpstreamName, TimePoint> refusedUntil;
+        std::map<UpstreamName, TimePoint> ejectedUntil;
     };
 
-    void arrived(const BenchRequest &request, TimePoint now);
-    void dispatchEnded(const BenchRequest &request, const BenchUpstream &upstream, DispatchEnd end, TimePoint now);
-    void serve(std::uint32_t vm, const ServiceName &service, TimePoint now);
-    void leaveOut(Vm &vm, const UpstreamName &upstream, TimePoint now);
-    void takeBack(std::uint32_t vm, TimePoint now);
+    void handleArrival(const BenchRequest &request, TimePoint now);
+    void handleDispatchEnd(const BenchRequest &request, const BenchUpstream &upstream, DispatchResult result, TimePoint now);
+    void dispatchQueued(std::uint32_t vm, const ServiceName &service, TimePoint now);
+    void eject(Vm &vm, const UpstreamName &upstream, TimePoint now);
+    void updateDeclarations(std::uint32_t vm, TimePoint now);
 
     World &m_world;
-    std::vector<Change> m_changes;
+    std::vector<Change> m_allDeclarations;
     std::map<ServiceName, VersionName> m_versions;
     std::vector<Vm> m_vms;
 };
--- a/src/bench/benchcommand.cpp
+++ b/src/bench/benchcommand.cpp
@@ -18,10 +18,10 @@
 namespace
 {
 
-constexpr int Failed = 1;
-constexpr int WrongUsage = 2;
+constexpr int ExitFailed = 1;
+constexpr int ExitWrongUsage = 2;
 constexpr std::uint64_t MaxSeeds = 100'000;
-/// The fixed set behind the signature, one seed of each: a scenario that is added later leaves it as it is.
+/// The signature covers this fixed set with one seed each, so that scenarios added later do not change it.
 constexpr std::uint64_t SignatureSeed = 1;
 constexpr std::array SignaturePolicies{"baseline", "oracle", "cumindyke"};
 constexpr std::array SignatureScenarios{"amman-cache-gaps",
@@ -40,7 +40,7 @@
     std::string command;
     std::string target;
     std::string folder;
-    /// Empty: all.
+    /// All policies if empty.
     std::vector<std::string> policies;
     std::uint64_t firstSeed = 1;
     std::uint64_t lastSeed = 1;
@@ -48,19 +48,19 @@
     LoadOptions load;
 };
 
-std::optional<std::uint64_t> number(std::string_view text)
+std::optional<std::uint64_t> parseNumber(std::string_view text)
 {
     std::uint64_t value = 0;
-    const auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), value);
-    return problem == std::errc() && end == text.data() + text.size() ? std::optional(value) : std::nullopt;
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    return error == std::errc() && end == text.data() + text.size() ? std::optional(value) : std::nullopt;
 }
 
-/// "A..B", or "A" alone.
+/// Parses "A..B" or "A" into the first and the last seed.
 std::optional<Error> parseSeeds(const std::string &text, Options &options)
 {
     const std::size_t dots = text.find("..");
-    const auto first = number(std::string_view(text).substr(0, dots));
-    const auto last = dots == std::string::npos ? first : number(std::string_view(text).substr(dots + 2));
+    const auto first = parseNumber(std::string_view(text).substr(0, dots));
+    const auto last = dots == std::string::npos ? first : parseNumber(std::string_view(text).substr(dots + 2));
     if (!first || !last || *last < *first || *last - *first >= MaxSeeds) {
         return Error{ErrorKind::BadRequest, "--seeds " + text + ": write A..B with A not after B, at most 100000 seeds"};
     }
@@ -96,15 +96,15 @@
 
 int runScenario(const Options &options, std::ostream &out, std::ostream &err)
 {
-    if (const MoveScenario *moves = moveScenario(options.target)) {
-        out << toJson(*moves, runMoves(*moves, options.firstSeed, options.lastSeed)) << "\n";
+    if (const MoveScenario *moveScenario = findMoveScenario(options.target)) {
+        out << toJson(*moveScenario, runMoves(*moveScenario, options.firstSeed, options.lastSeed)) << "\n";
         return 0;
     }
     const bool isFile = options.target.ends_with(".toml");
     const Result<Scenario> scenario = readScenario(isFile ? options.target : options.folder + "/" + options.target + ".toml");
     if (!ok(scenario)) {
         err << "cumindyke-bench: " << errorOf(scenario).message << "\n";
-        return Failed;
+        return ExitFailed;
     }
     ScenarioReport report{.scenario = valueOf(scenario).name, .firstSeed = options.firstSeed, .lastSeed = options.lastSeed, .policies = {}};
     const std::vector<std::string> known = policyNames();
@@ -115,7 +115,7 @@
                 err << " " << name;
             }
             err << "\n";
-            return WrongUsage;
+            return ExitWrongUsage;
         }
         report.policies.emplace(policy, runSeeds(valueOf(scenario), policy, options.firstSeed, options.lastSeed));
     }
@@ -123,36 +123,36 @@
     return 0;
 }
 
-int playLoad(const Options &options, std::ostream &out, std::ostream &err)
+int runPlacementLoad(const Options &options, std::ostream &out, std::ostream &err)
 {
     const bool isFile = options.target.ends_with(".toml");
     const Result<PlacementLoad> load = readPlacementLoad(isFile ? options.target : options.folder + "/placement/" + options.target + ".toml");
     if (!ok(load)) {
         err << "cumindyke-bench: " << errorOf(load).message << "\n";
-        return Failed;
+        return ExitFailed;
     }
-    printPlacement(out, valueOf(load), options.firstSeed, options.lastSeed);
+    printPlacementReport(out, valueOf(load), options.firstSeed, options.lastSeed);
     return 0;
 }
 
-int listAll(const Options &options, std::ostream &out, std::ostream &err)
+int listEverything(const Options &options, std::ostream &out, std::ostream &err)
 {
     const auto names = listScenarios(options.folder);
     if (!ok(names)) {
         err << "cumindyke-bench: " << errorOf(names).message << "\n";
-        return Failed;
+        return ExitFailed;
     }
     for (const std::string &name : valueOf(names)) {
         const Result<Scenario> scenario = readScenario(options.folder + "/" + name + ".toml");
         out << name << "\t" << (ok(scenario) ? valueOf(scenario).description : errorOf(scenario).message) << "\n";
     }
-    for (const MoveScenario &moves : moveScenarios()) {
-        out << moves.name << "\ta version move; prints JSON\n";
+    for (const MoveScenario &moveScenario : moveScenarios()) {
+        out << moveScenario.name << "\ta version move; prints JSON\n";
     }
     return 0;
 }
 
-/// One number over the fixed set.
+/// Prints a checksum over the decisions of the fixed scenarios and policies.
 int printSignature(const Options &options, std::ostream &out, std::ostream &err)
 {
     std::string text;
@@ -160,7 +160,7 @@
         const Result<Scenario> scenario = readScenario(options.folder + "/" + name + ".toml");
         if (!ok(scenario)) {
             err << "cumindyke-bench: " << errorOf(scenario).message << "\n";
-            return Failed;
+            return ExitFailed;
         }
         for (const char *policy : SignaturePolicies) {
             text += std::string(name) + " " + policy + " " + std::to_string(runOnce(valueOf(scenario), policy, SignatureSeed).signature) + "\n";
@@ -170,22 +170,22 @@
     return 0;
 }
 
-int driveLoad(const Options &options, std::ostream &out, std::ostream &err)
+int runLoadTest(const Options &options, std::ostream &out, std::ostream &err)
 {
     const Result<LoadOptions> url = parseLoadUrl(options.target);
     if (!ok(url)) {
         err << "cumindyke-bench: " << errorOf(url).message << "\n";
-        return WrongUsage;
+        return ExitWrongUsage;
     }
     LoadOptions load = options.load;
     load.address = valueOf(url).address;
     load.path = valueOf(url).path;
     const LoadResult result = runLoad(load);
     printLoad(out, result, options.json);
-    return result.whole.count() > 0 ? 0 : Failed;
+    return result.totalTime.count() > 0 ? 0 : ExitFailed;
 }
 
-LoadOptions loadOptions(const cxxopts::ParseResult &parsed)
+LoadOptions parseLoadOptions(const cxxopts::ParseResult &parsed)
 {
     constexpr double MaxSeconds = 3600;
     constexpr std::uint32_t MaxConcurrency = 2000;
@@ -194,7 +194,7 @@
     load.duration = Duration(static_cast<Duration::rep>(std::clamp(parsed["duration"].as<double>(), 0.0, MaxSeconds) * 1e6));
     load.concurrency = std::clamp<std::uint32_t>(parsed["concurrency"].as<std::uint32_t>(), 1, MaxConcurrency);
     load.rate = std::max(0.0, parsed["rate"].as<double>());
-    load.key = parsed["key"].as<std::string>();
+    load.apiKey = parsed["key"].as<std::string>();
     load.body = parsed["body"].as<std::string>();
     return load;
 }
@@ -219,32 +219,32 @@
             options.policies.clear();
         }
         options.json = parsed.count("json") > 0;
-        options.load = loadOptions(parsed);
+        options.load = parseLoadOptions(parsed);
         if (const auto error = parseSeeds(parsed["seeds"].as<std::string>(), options)) {
             err << "cumindyke-bench: " << error->message << "\n";
-            return WrongUsage;
+            return ExitWrongUsage;
         }
-    } catch (const cxxopts::exceptions::exception &problem) {
-        err << "cumindyke-bench: " << problem.what() << ": see --help\n";
-        return WrongUsage;
+    } catch (const cxxopts::exceptions::exception &exception) {
+        err << "cumindyke-bench: " << exception.what() << ": see --help\n";
+        return ExitWrongUsage;
     }
     if (options.command == "list") {
-        return listAll(options, out, err);
+        return listEverything(options, out, err);
     }
     if (options.command == "run" && !options.target.empty()) {
         return runScenario(options, out, err);
     }
     if (options.command == "placement" && !options.target.empty()) {
-        return playLoad(options, out, err);
+        return runPlacementLoad(options, out, err);
     }
     if (options.command == "signature") {
         return printSignature(options, out, err);
     }
     if (options.command == "load" && !options.target.empty()) {
-        return driveLoad(options, out, err);
+        return runLoadTest(options, out, err);
     }
     err << parser.help();
-    return WrongUsage;
+    return ExitWrongUsage;
 }
 
 }
--- a/src/bench/cumindykepolicy.cpp
+++ b/src/bench/cumindykepolicy.cpp
@@ -11,35 +11,36 @@
 namespace
 {
 
-/// As in the daemon: changes of some milliseconds go out together.
+/// As in the daemon: changes within these delays are sent or decided together.
 constexpr Duration FlushDelay = std::chrono::milliseconds(2);
 constexpr Duration StepDelay = std::chrono::milliseconds(1);
 constexpr Duration SweepInterval = std::chrono::milliseconds(20);
 constexpr Duration PollInterval = std::chrono::milliseconds(200);
-/// Until another VM holds the cell after its scheduler died: the lease and the election.
-constexpr Duration TakeoverTime = std::chrono::milliseconds(2500);
+/// Time until another VM takes over a cell whose scheduler died: the lease's expiry and the election.
+constexpr Duration TakeoverDelay = std::chrono::milliseconds(2500);
 
 }
 
 CumindykePolicy::CumindykePolicy(World &world, const CumindykeOptions &options)
     : m_world(world)
     , m_options(options)
-    , m_declarations(Declarations::restored(Revision{1}, declarationsOf(world)))
+    , m_declarations(Declarations::restored(Revision{1}, upstreamDeclarations(world)))
 {
-    world.arrived = [this](const BenchRequest &request, TimePoint now) { arrived(request, now); };
-    world.dispatchEnded
-        = [this](const BenchRequest &request, const BenchUpstream &upstream, DispatchEnd end, TimePoint now) { dispatchEnded(request, upstream, end, now); };
-    world.vmLost = [this](std::uint32_t vm, TimePoint now) { vmLost(vm, now); };
-    world.schedulerLost = [this](const std::string &cell, TimePoint now) { schedulerLost(cell, now); };
+    world.onArrival = [this](const BenchRequest &request, TimePoint now) { handleArrival(request, now); };
+    world.onDispatchEnded = [this](const BenchRequest &request, const BenchUpstream &upstream, DispatchResult result, TimePoint now) {
+        handleDispatchEnd(request, upstream, result, now);
+    };
+    world.onVmFailed = [this](std::uint32_t vm, TimePoint now) { handleVmFailure(vm, now); };
+    world.onSchedulerFailed = [this](const std::string &cell, TimePoint now) { handleSchedulerFailure(cell, now); };
     for (const BenchRequest &request : world.requests()) {
-        m_indexes.emplace(request.id, request.index);
+        m_requestIndexes.emplace(request.id, request.index);
     }
     makeCells();
 }
 
 void CumindykePolicy::makeCells()
 {
-    std::vector<PooledUpstream> known;
+    std::vector<PooledUpstream> bookUpstreams;
     for (std::uint32_t i = 0; i < m_world.upstreams().size(); ++i) {
         const BenchUpstream &upstream = m_world.upstreams()[i];
         m_versions.emplace(upstream.service, upstream.version);
@@ -48,20 +49,21 @@
         cell.name = name;
         cell.service = upstream.service;
         cell.dataCentre = upstream.dataCentre;
-        cell.host = upstream.dataCentre % m_world.scenario().entryVms;
+        cell.hostVm = upstream.dataCentre % m_world.scenario().entryVms;
         cell.upstreams.push_back(i);
-        known.push_back(PooledUpstream{.name = upstream.name, .service = upstream.service, .version = upstream.version, .cell = name, .slots = upstream.slots});
+        bookUpstreams.push_back(
+            PooledUpstream{.name = upstream.name, .service = upstream.service, .version = upstream.version, .cell = name, .slots = upstream.slots});
     }
     const std::uint32_t vms = m_world.scenario().entryVms;
     for (std::uint32_t i = 0; i < vms; ++i) {
         const VmName name{"entry-" + std::to_string(i)};
         m_vms.push_back(Vm{.name = name, .queues = {}, .book = GrantPool(name), .lengths = {}, .slots = {}});
-        m_vms.back().book.setUpstreams(known, VmShare{.index = i, .count = vms});
-        m_world.at(TimePoint(SweepInterval * (i + 1) / vms), [this, i](TimePoint now) { sweep(i, now); });
+        m_vms.back().book.setUpstreams(bookUpstreams, VmShare{.index = i, .count = vms});
+        m_world.schedule(TimePoint(SweepInterval * (i + 1) / vms), [this, i](TimePoint now) { sweepQueues(i, now); });
     }
     for (auto &[name, cell] : m_cells) {
         startScheduler(cell, TimePoint{});
-        m_world.at(TimePoint(PollInterval), [this, held = &cell](TimePoint now) { poll(*held, now); });
+        m_world.schedule(TimePoint(PollInterval), [this, target = &cell](TimePoint now) { pollEngines(*target, now); });
     }
 }
 
@@ -88,8 +90,8 @@
     cell.scheduler.emplace(std::move(options), now);
     std::vector<CellUpstream> upstreams;
     for (const std::uint32_t upstream : cell.upstreams) {
-        const BenchUpstream &known = m_world.upstreams()[upstream];
-        upstreams.push_back(CellUpstream{.name = known.name, .version = known.version, .slots = known.slots});
+        const BenchUpstream &upstreamInfo = m_world.upstreams()[upstream];
+        upstreams.push_back(CellUpstream{.name = upstreamInfo.name, .version = upstreamInfo.version, .slots = upstreamInfo.slots});
     }
     cell.scheduler->setUpstreams(upstreams, now);
     std::map<OrganisationName, std::uint32_t> weights;
@@ -100,7 +102,7 @@
     cell.cacheSequences.clear();
 }
 
-void CumindykePolicy::arrived(const BenchRequest &request, TimePoint now)
+void CumindykePolicy::handleArrival(const BenchRequest &request, TimePoint now)
 {
     const auto refuseFrom = m_vms[request.vm].book.refuseFrom(request.service, now);
     if (refuseFrom && request.tier >= *refuseFrom) {
@@ -129,62 +131,62 @@
     };
     pending.answerTokens = feasibleAnswer(vm.book, pending, now);
     vm.queues[request.service].add(std::move(pending));
-    serve(request.vm, now);
+    dispatchQueued(request.vm, now);
     scheduleFlush(request.vm, now);
 }
 
-void CumindykePolicy::serve(std::uint32_t index, TimePoint now)
+void CumindykePolicy::dispatchQueued(std::uint32_t index, TimePoint now)
 {
     Vm &vm = m_vms[index];
     for (auto &[service, queue] : vm.queues) {
         serveQueue(queue, vm.book, m_declarations, m_versions[service], now, [&](const PendingRequest &request, const Slot &slot) {
-            const std::uint32_t number = m_indexes.at(request.id);
-            vm.slots[number] = slot;
-            m_world.dispatch(m_world.requests()[number], m_world.upstreamIndex(slot.upstream), now);
+            const std::uint32_t requestIndex = m_requestIndexes.at(request.id);
+            vm.slots[requestIndex] = slot;
+            m_world.dispatch(m_world.requests()[requestIndex], m_world.upstreamIndex(slot.upstream), now);
         });
     }
 }
 
-void CumindykePolicy::dispatchEnded(const BenchRequest &request, const BenchUpstream &upstream, DispatchEnd end, TimePoint now)
+void CumindykePolicy::handleDispatchEnd(const BenchRequest &request, const BenchUpstream &upstream, DispatchResult result, TimePoint now)
 {
     Vm &vm = m_vms[request.vm];
     vm.book.release(vm.slots.at(request.index), now);
     vm.slots.erase(request.index);
-    if (end == DispatchEnd::NotSent) {
+    if (result == DispatchResult::ConnectionRefused) {
         vm.book.recordUnreachable(upstream.name, now);
         enqueue(request, now);
-    } else if (end == DispatchEnd::Whole) {
+    } else if (result == DispatchResult::Completed) {
         vm.lengths.recordAnswer(request.service, request.route, request.answerLimit, request.answer);
     }
-    serve(request.vm, now);
+    dispatchQueued(request.vm, now);
     scheduleFlush(request.vm, now);
 }
 
-void CumindykePolicy::vmLost(std::uint32_t vm, TimePoint now)
+void CumindykePolicy::handleVmFailure(std::uint32_t vm, TimePoint now)
 {
     for (auto &[name, cell] : m_cells) {
-        if (cell.host == vm) {
-            schedulerLost(name.value, now);
+        if (cell.hostVm == vm) {
+            handleSchedulerFailure(name.value, now);
         }
     }
 }
 
-void CumindykePolicy::schedulerLost(const std::string &name, TimePoint now)
+void CumindykePolicy::handleSchedulerFailure(const std::string &name, TimePoint now)
 {
     Cell &cell = m_cells.at(CellName{name});
     cell.scheduler.reset();
     ++cell.epoch.value;
-    m_world.at(now + TakeoverTime, [this, held = &cell](TimePoint then) {
+    m_world.schedule(now + TakeoverDelay, [this, target = &cell](TimePoint then) {
         const auto vms = static_cast<std::uint32_t>(m_vms.size());
         do {
-            held->host = (held->host + 1) % vms;
-        } while (!m_world.vmAlive(held->host));
-        held->dataCentre = m_world.dataCentreOfVm(held->host);
-        startScheduler(*held, then);
+            target->hostVm = (target->hostVm + 1) % vms;
+        } while (!m_world.vmAlive(target->hostVm));
+        target->dataCentre = m_world.dataCentreOfVm(target->hostVm);
+        startScheduler(*target, then);
     });
 }
 
-void CumindykePolicy::sweep(std::uint32_t index, TimePoint now)
+void CumindykePolicy::sweepQueues(std::uint32_t index, TimePoint now)
 {
     if (!m_world.vmAlive(index)) {
         return;
@@ -192,12 +194,12 @@
     Vm &vm = m_vms[index];
     for (auto &[service, queue] : vm.queues) {
         for (const PendingRequest &hopeless : shedRequests(queue, vm.book, service, now)) {
-            m_world.shed(m_world.requests()[m_indexes.at(hopeless.id)], now);
+            m_world.shed(m_world.requests()[m_requestIndexes.at(hopeless.id)], now);
         }
     }
-    serve(index, now);
+    dispatchQueued(index, now);
     flush(index, now);
-    m_world.at(now + SweepInterval, [this, index](TimePoint then) { sweep(index, then); });
+    m_world.schedule(now + SweepInterval, [this, index](TimePoint then) { sweepQueues(index, then); });
 }
 
 void CumindykePolicy::scheduleFlush(std::uint32_t index, TimePoint now)
@@ -205,7 +207,7 @@
     if (std::exchange(m_vms[index].flushScheduled, true)) {
         return;
     }
-    m_world.at(now + FlushDelay, [this, index](TimePoint then) {
+    m_world.schedule(now + FlushDelay, [this, index](TimePoint then) {
         m_vms[index].flushScheduled = false;
         if (m_world.vmAlive(index)) {
             flush(index, then);
@@ -220,30 +222,30 @@
         for (CellMessages &message : vm.book.messages(service, queue, m_versions[service], now)) {
             Cell &cell = m_cells.at(message.demand.cell);
             const std::size_t bytes = toProto(message.demand).ByteSizeLong() + toProto(message.report).ByteSizeLong();
-            m_world.send(m_world.dataCentreOfVm(index), cell.dataCentre, bytes, [this, held = &cell, message = std::move(message)](TimePoint then) {
-                if (!held->scheduler) {
+            m_world.send(m_world.dataCentreOfVm(index), cell.dataCentre, bytes, [this, target = &cell, message = std::move(message)](TimePoint then) {
+                if (!target->scheduler) {
                     return;
                 }
-                held->scheduler->handleReport(message.report.vm, message.report, then);
-                held->scheduler->handleDemand(message.demand.vm, message.demand, then);
-                scheduleStep(*held, then);
+                target->scheduler->handleReport(message.report.vm, message.report, then);
+                target->scheduler->handleDemand(message.demand.vm, message.demand, then);
+                scheduleSchedulerStep(*target, then);
             });
         }
     }
 }
 
-void CumindykePolicy::scheduleStep(Cell &cell, TimePoint now)
+void CumindykePolicy::scheduleSchedulerStep(Cell &cell, TimePoint now)
 {
     if (std::exchange(cell.stepScheduled, true)) {
         return;
     }
-    m_world.at(now + StepDelay, [this, held = &cell](TimePoint then) {
-        held->stepScheduled = false;
-        step(*held, then);
+    m_world.schedule(now + StepDelay, [this, target = &cell](TimePoint then) {
+        target->stepScheduled = false;
+        stepScheduler(*target, then);
     });
 }
 
-void CumindykePolicy::step(Cell &cell, TimePoint now)
+void CumindykePolicy::stepScheduler(Cell &cell, TimePoint now)
 {
     if (!cell.scheduler) {
         return;
@@ -256,16 +258,16 @@
                 return;
             }
             m_vms[index].book.handleGrants(message, then);
-            serve(index, then);
+            dispatchQueued(index, then);
             scheduleFlush(index, then);
         });
     }
 }
 
-/// Reads the reports of the cell's engines, as the daemon's scheduler does.
-void CumindykePolicy::poll(Cell &cell, TimePoint now)
+/// Reads the load reports and cache events of the cell's engines, as the daemon's scheduler does.
+void CumindykePolicy::pollEngines(Cell &cell, TimePoint now)
 {
-    m_world.at(now + PollInterval, [this, held = &cell](TimePoint then) { poll(*held, then); });
+    m_world.schedule(now + PollInterval, [this, target = &cell](TimePoint then) { pollEngines(*target, then); });
     if (!cell.scheduler) {
         return;
     }
@@ -284,7 +286,7 @@
             cell.cacheSequences[index] = event.sequence;
         }
     }
-    step(cell, now);
+    stepScheduler(cell, now);
 }
 
 }
--- a/src/bench/cumindykepolicy.h
+++ b/src/bench/cumindykepolicy.h
@@ -13,7 +13,7 @@
 namespace cumindyke
 {
 
-/// What an experiment leaves out of the shipped decisions.
+/// Switches that turn off single parts of the shipped decision code for an experiment.
 struct CumindykeOptions
 {
     PlacementOptions placement;
@@ -24,8 +24,8 @@
     bool keepSlots = true;
 };
 
-/// The shipped decision code on emulated VMs: queues, grant books and cell schedulers as the daemon runs them, with messages that take
-/// the network's time, timers, and polls of the engines' reports.
+/// Runs the shipped decision code on emulated VMs: queues, grant books and cell schedulers as in the daemon, with timers, simulated
+/// network delays and polling of the engines' load reports.
 class CumindykePolicy
 {
 public:
@@ -46,7 +46,7 @@
         CellName name;
         ServiceName service;
         std::uint32_t dataCentre = 0;
-        std::uint32_t host = 0;
+        std::uint32_t hostVm = 0;
         Epoch epoch{1};
         std::optional<CellScheduler> scheduler;
         std::vector<std::uint32_t> upstreams;
@@ -56,18 +56,18 @@
 
     void makeCells();
     void startScheduler(Cell &cell, TimePoint now);
-    void arrived(const BenchRequest &request, TimePoint now);
+    void handleArrival(const BenchRequest &request, TimePoint now);
     void enqueue(const BenchRequest &request, TimePoint now);
-    void dispatchEnded(const BenchRequest &request, const BenchUpstream &upstream, DispatchEnd end, TimePoint now);
-    void vmLost(std::uint32_t vm, TimePoint now);
-    void schedulerLost(const std::string &cell, TimePoint now);
-    void serve(std::uint32_t vm, TimePoint now);
-    void sweep(std::uint32_t vm, TimePoint now);
+    void handleDispatchEnd(const BenchRequest &request, const BenchUpstream &upstream, DispatchResult result, TimePoint now);
+    void handleVmFailure(std::uint32_t vm, TimePoint now);
+    void handleSchedulerFailure(const std::string &cell, TimePoint now);
+    void dispatchQueued(std::uint32_t vm, TimePoint now);
+    void sweepQueues(std::uint32_t vm, TimePoint now);
     void scheduleFlush(std::uint32_t vm, TimePoint now);
     void flush(std::uint32_t vm, TimePoint now);
-    void scheduleStep(Cell &cell, TimePoint now);
-    void step(Cell &cell, TimePoint now);
-    void poll(Cell &cell, TimePoint now);
+    void scheduleSchedulerStep(Cell &cell, TimePoint now);
+    void stepScheduler(Cell &cell, TimePoint now);
+    void pollEngines(Cell &cell, TimePoint now);
 
     World &m_world;
     CumindykeOptions m_options;
@@ -75,7 +75,7 @@
     Declarations m_declarations;
     std::vector<Vm> m_vms;
     std::map<CellName, Cell> m_cells;
-    std::unordered_map<RequestId, std::uint32_t> m_indexes;
+    std::unordered_map<RequestId, std::uint32_t> m_requestIndexes;
 };
 
 }
--- a/src/bench/enginemodel.cpp
+++ b/src/bench/enginemodel.cpp
@@ -9,8 +9,8 @@
 {
 
 constexpr std::size_t MaxCacheEvents = 4096;
-constexpr std::size_t MaxLoads = 4096;
-constexpr Duration LoadNoteInterval = std::chrono::milliseconds(20);
+constexpr std::size_t MaxLoadRecords = 4096;
+constexpr Duration LoadRecordInterval = std::chrono::milliseconds(20);
 
 }
 
@@ -21,8 +21,8 @@
 
 void EngineModel::submit(const EngineRequest &request, TimePoint now)
 {
-    m_waiting.push_back(Sequence{.request = request, .prefillLeft = 0, .made = 0});
-    if (!m_stepEnd) {
+    m_waiting.push_back(Sequence{.request = request, .remainingPrefill = 0, .generated = 0});
+    if (!m_stepEndsAt) {
         planStep(now);
     }
 }
@@ -43,10 +43,10 @@
 std::vector<EngineEvent> EngineModel::advance(TimePoint now)
 {
     std::vector<EngineEvent> events;
-    while (m_stepEnd && *m_stepEnd <= now) {
-        const TimePoint end = *m_stepEnd;
+    while (m_stepEndsAt && *m_stepEndsAt <= now) {
+        const TimePoint end = *m_stepEndsAt;
         finishStep(events);
-        m_stepEnd.reset();
+        m_stepEndsAt.reset();
         planStep(end);
     }
     return events;
@@ -54,7 +54,7 @@
 
 std::optional<TimePoint> EngineModel::nextEventAt() const
 {
-    return m_stepEnd;
+    return m_stepEndsAt;
 }
 
 void EngineModel::setSlowness(double factor)
@@ -62,30 +62,30 @@
     m_slowness = factor;
 }
 
-/// Step 1. Admits first-come while the batch has room. Step 2. Shares the step's prefill among sequences that need it, in order.
-/// Step 3. The step lasts as long as its decoding and prefill take.
+/// Plans the next step: admits waiting requests in order of arrival while the batch has free slots, divides the prefill budget among
+/// the sequences that need it, in order, and computes the duration of the step from its decoding and prefill.
 void EngineModel::planStep(TimePoint now)
 {
     admitWaiting(now);
     if (m_running.empty()) {
         return;
     }
-    std::uint32_t prefillRoom = m_speed.prefillChunk;
+    std::uint32_t prefillBudget = m_speed.prefillChunk;
     std::uint32_t prefill = 0;
     std::uint32_t decoding = 0;
     m_stepPrefill.assign(m_running.size(), 0);
     for (std::size_t i = 0; i < m_running.size(); ++i) {
-        if (m_running[i].prefillLeft == 0) {
+        if (m_running[i].remainingPrefill == 0) {
             ++decoding;
             continue;
         }
-        m_stepPrefill[i] = std::min(m_running[i].prefillLeft, prefillRoom);
-        prefillRoom -= m_stepPrefill[i];
+        m_stepPrefill[i] = std::min(m_running[i].remainingPrefill, prefillBudget);
+        prefillBudget -= m_stepPrefill[i];
         prefill += m_stepPrefill[i];
     }
     const Duration work = m_speed.stepBase + m_speed.stepPerSequence * decoding + m_speed.prefillPerToken * prefill;
-    m_stepEnd = now + Duration(static_cast<Duration::rep>(static_cast<double>(work.count()) * m_slowness));
-    noteLoad(now);
+    m_stepEndsAt = now + Duration(static_cast<Duration::rep>(static_cast<double>(work.count()) * m_slowness));
+    recordLoad(now);
 }
 
 void EngineModel::admitWaiting(TimePoint now)
@@ -94,33 +94,33 @@
         Sequence sequence = std::move(m_waiting.front());
         m_waiting.pop_front();
         const EngineRequest &request = sequence.request;
-        const std::uint32_t hit = cached(request.prefix) ? std::min(request.sharedPrefix.value, request.prompt.value) : 0;
-        // At least one token is computed anew: the one whose logits begin the answer.
-        sequence.prefillLeft = std::max<std::uint32_t>(request.prompt.value - hit, 1);
-        m_prefilledTokens += sequence.prefillLeft;
-        touchCache(request, now);
+        const std::uint32_t hit = isCached(request.prefix) ? std::min(request.sharedPrefix.value, request.prompt.value) : 0;
+        // The last prompt token is always computed, since its logits give the answer's first token.
+        sequence.remainingPrefill = std::max<std::uint32_t>(request.prompt.value - hit, 1);
+        m_prefilledTokens += sequence.remainingPrefill;
+        updateCache(request, now);
         m_running.push_back(std::move(sequence));
     }
 }
 
 void EngineModel::finishStep(std::vector<EngineEvent> &events)
 {
-    const TimePoint end = *m_stepEnd;
+    const TimePoint end = *m_stepEndsAt;
     std::vector<Sequence> stillRunning;
     stillRunning.reserve(m_running.size());
     for (std::size_t i = 0; i < m_running.size(); ++i) {
         Sequence &sequence = m_running[i];
-        const bool wasPrefilling = sequence.prefillLeft > 0;
-        sequence.prefillLeft -= m_stepPrefill[i];
-        if (wasPrefilling && sequence.prefillLeft > 0) {
+        const bool wasPrefilling = sequence.remainingPrefill > 0;
+        sequence.remainingPrefill -= m_stepPrefill[i];
+        if (wasPrefilling && sequence.remainingPrefill > 0) {
             stillRunning.push_back(std::move(sequence));
             continue;
         }
-        events.push_back(EngineEvent{.kind = EngineEvent::Kind::Token, .id = sequence.request.id, .index = sequence.made, .at = end});
-        ++sequence.made;
+        events.push_back(EngineEvent{.kind = EngineEvent::Kind::Token, .id = sequence.request.id, .index = sequence.generated, .at = end});
+        ++sequence.generated;
         ++m_generatedTokens;
-        if (sequence.made >= sequence.request.answer.value) {
-            events.push_back(EngineEvent{.kind = EngineEvent::Kind::Finished, .id = sequence.request.id, .index = sequence.made, .at = end});
+        if (sequence.generated >= sequence.request.answer.value) {
+            events.push_back(EngineEvent{.kind = EngineEvent::Kind::Finished, .id = sequence.request.id, .index = sequence.generated, .at = end});
             continue;
         }
         stillRunning.push_back(std::move(sequence));
@@ -138,8 +138,8 @@
         .generatedTokens = m_generatedTokens,
     };
     for (const Sequence &sequence : m_running) {
-        load.pendingPrefill += sequence.prefillLeft;
-        load.pendingTokens += sequence.prefillLeft + sequence.request.answer.value - sequence.made;
+        load.pendingPrefill += sequence.remainingPrefill;
+        load.pendingTokens += sequence.remainingPrefill + sequence.request.answer.value - sequence.generated;
     }
     for (const Sequence &sequence : m_waiting) {
         load.pendingTokens += sequence.request.prompt.value + sequence.request.answer.value;
@@ -147,59 +147,59 @@
     return load;
 }
 
-void EngineModel::noteLoad(TimePoint now)
+void EngineModel::recordLoad(TimePoint now)
 {
-    if (!m_loads.empty() && now - m_loads.back().at < LoadNoteInterval) {
+    if (!m_loadHistory.empty() && now - m_loadHistory.back().at < LoadRecordInterval) {
         return;
     }
-    m_loads.push_back(load(now));
-    if (m_loads.size() > MaxLoads) {
-        m_loads.pop_front();
+    m_loadHistory.push_back(load(now));
+    if (m_loadHistory.size() > MaxLoadRecords) {
+        m_loadHistory.pop_front();
     }
 }
 
 EngineLoad EngineModel::reportedLoad(TimePoint now) const
 {
     const TimePoint then = now - m_speed.reportLag;
-    const auto later = std::ranges::upper_bound(m_loads, then, {}, &EngineLoad::at);
-    return later == m_loads.begin() ? EngineLoad{.running = 0, .waiting = 0, .pendingTokens = 0, .at = then} : *std::prev(later);
+    const auto later = std::ranges::upper_bound(m_loadHistory, then, {}, &EngineLoad::at);
+    return later == m_loadHistory.begin() ? EngineLoad{.running = 0, .waiting = 0, .pendingTokens = 0, .at = then} : *std::prev(later);
 }
 
-bool EngineModel::cached(std::uint64_t prefix) const
+bool EngineModel::isCached(std::uint64_t prefix) const
 {
     return m_cache.contains(prefix);
 }
 
-void EngineModel::touchCache(const EngineRequest &request, TimePoint now)
+void EngineModel::updateCache(const EngineRequest &request, TimePoint now)
 {
     const auto known = m_cache.find(request.prefix);
     if (known != m_cache.end()) {
-        m_cacheOrder.splice(m_cacheOrder.begin(), m_cacheOrder, known->second);
+        m_cacheByRecency.splice(m_cacheByRecency.begin(), m_cacheByRecency, known->second);
         return;
     }
     if (request.sharedPrefix.value == 0 || request.sharedPrefix.value > m_speed.cacheTokens) {
         return;
     }
-    m_cacheOrder.push_front(CachedPrefix{.prefix = request.prefix, .tokens = request.sharedPrefix.value});
-    m_cache.emplace(request.prefix, m_cacheOrder.begin());
+    m_cacheByRecency.push_front(CachedPrefix{.prefix = request.prefix, .tokens = request.sharedPrefix.value});
+    m_cache.emplace(request.prefix, m_cacheByRecency.begin());
     m_cachedTokens += request.sharedPrefix.value;
-    noteCacheEvent(request.prefix, true, now);
+    recordCacheEvent(request.prefix, true, now);
     while (m_cachedTokens > m_speed.cacheTokens) {
-        const CachedPrefix evicted = m_cacheOrder.back();
-        m_cacheOrder.pop_back();
+        const CachedPrefix evicted = m_cacheByRecency.back();
+        m_cacheByRecency.pop_back();
         m_cache.erase(evicted.prefix);
         m_cachedTokens -= evicted.tokens;
-        noteCacheEvent(evicted.prefix, false, now);
+        recordCacheEvent(evicted.prefix, false, now);
     }
 }
 
-void EngineModel::noteCacheEvent(std::uint64_t prefix, bool stored, TimePoint now)
+void EngineModel::recordCacheEvent(std::uint64_t prefix, bool stored, TimePoint now)
 {
-    ++m_cacheSequence;
-    if (m_speed.gapEvery > 0 && m_cacheSequence % m_speed.gapEvery == 0) {
+    ++m_lastCacheSequence;
+    if (m_speed.cacheEventGapInterval > 0 && m_lastCacheSequence % m_speed.cacheEventGapInterval == 0) {
         return;
     }
-    m_cacheEvents.push_back(CacheEvent{.sequence = m_cacheSequence, .prefix = prefix, .stored = stored, .visibleAt = now + m_speed.cacheEventLag});
+    m_cacheEvents.push_back(CacheEvent{.sequence = m_lastCacheSequence, .prefix = prefix, .stored = stored, .visibleAt = now + m_speed.cacheEventLag});
     if (m_cacheEvents.size() > MaxCacheEvents) {
         m_cacheEvents.pop_front();
     }
--- a/src/bench/enginemodel.h
+++ b/src/bench/enginemodel.h
@@ -14,44 +14,45 @@
 namespace cumindyke
 {
 
-/// How fast an engine is and what it can hold.
+/// Speed and capacity of an engine.
 struct EngineSpeed
 {
-    /// Every step of the batch takes at least this long.
+    /// Minimum duration of a step of the batch.
     Duration stepBase = std::chrono::milliseconds(12);
-    /// Added for each sequence that decodes in the step.
+    /// Time added for each sequence that decodes in the step.
     Duration stepPerSequence = std::chrono::microseconds(250);
-    /// Added for each prompt token that the step prefills.
+    /// Time added for each prompt token that the step prefills.
     Duration prefillPerToken = std::chrono::microseconds(40);
-    /// Prompt tokens prefilled in one step at most (chunked prefill).
+    /// Maximum number of prompt tokens prefilled in one step (chunked prefill).
     std::uint32_t prefillChunk = 512;
     std::uint32_t maxBatch = 32;
-    /// Prompt tokens that the prefix cache holds.
+    /// Capacity of the prefix cache in prompt tokens.
     std::uint64_t cacheTokens = 64'000;
-    /// Reports of load are this old when they are read.
+    /// Age of a load report when it is read.
     Duration reportLag = std::chrono::milliseconds(500);
-    /// Cache events appear this late; one in gapEvery is lost (0: none).
+    /// Delay until a cache event becomes visible.
     Duration cacheEventLag = std::chrono::milliseconds(800);
-    std::uint32_t gapEvery = 50;
+    /// Every cacheEventGapInterval-th cache event is lost (0: none).
+    std::uint32_t cacheEventGapInterval = 50;
 };
 
 struct EngineRequest
 {
     RequestId id;
     TokenCount prompt;
-    /// Tokens of the prompt that other requests with the same prefix share.
+    /// Length of the prompt's prefix that other requests with the same prefix id share.
     TokenCount sharedPrefix;
     std::uint64_t prefix = 0;
     TokenCount answer;
 };
 
-/// What a sequence did in a step.
+/// A generated token or the end of a sequence.
 struct EngineEvent
 {
     enum class Kind { Token, Finished };
     Kind kind = Kind::Token;
     RequestId id;
-    /// 0 for the first token.
+    /// Position of the token in the answer, from 0.
     std::uint32_t index = 0;
     TimePoint at;
 };
@@ -60,12 +61,12 @@
 {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
-    /// Prompt and answer tokens still to be made.
+    /// Prompt tokens to be prefilled and answer tokens to be generated, of running and waiting requests.
     std::uint64_t pendingTokens = 0;
     TimePoint at;
-    /// Answer tokens made since the engine started.
+    /// Answer tokens generated since the engine started.
     std::uint64_t generatedTokens = 0;
-    /// Prompt tokens of running sequences still to be prefilled.
+    /// Prompt tokens of running sequences that are not prefilled yet.
     std::uint64_t pendingPrefill = 0;
 };
 
@@ -77,11 +78,11 @@
     TimePoint visibleAt;
 };
 
-/// A model engine, in virtual or real time: the experiments and the stand-in use the same class.
+/// Simulates a model engine in virtual or real time, for the experiments and the tests' fake upstream.
 ///
 /// Modelled: continuous batching in steps, chunked prefill that slows decoding, first-come admission without priorities, a prefix
-/// cache with least-recently-used eviction, load reports with a lag, cache events late and with gaps, a speed factor for slow engines.
-/// Not modelled: memory for key-value blocks (maxBatch stands for it), preemption, speculative decoding, several accelerators.
+/// cache with least-recently-used eviction, delayed load reports, delayed cache events with gaps, a slowdown factor for slow engines.
+/// Not modelled: memory for key-value blocks (maxBatch limits the batch instead), preemption, speculative decoding, several accelerators.
 class EngineModel
 {
 public:
@@ -89,19 +90,19 @@
 
     void submit(const EngineRequest &request, TimePoint now);
     void cancel(const RequestId &id);
-    /// All events up to now, in order. Steps begin when there is work.
+    /// Completes the steps that end by `now` and returns their events in order.
     std::vector<EngineEvent> advance(TimePoint now);
-    /// When the next event may come; none while idle.
+    /// Returns the time of the next possible event, or none while the engine is idle.
     std::optional<TimePoint> nextEventAt() const;
-    /// 1 is the normal speed, 2 is twice as slow.
+    /// Sets the factor on the duration of steps: 1 is the normal speed, 2 is twice as slow.
     void setSlowness(double factor);
 
-    /// The load as a report read now shows it: lagging.
+    /// Returns the load that a report read now shows, which is reportLag old.
     EngineLoad reportedLoad(TimePoint now) const;
-    /// The load as it is.
+    /// Returns the present load.
     EngineLoad load(TimePoint now) const;
-    bool cached(std::uint64_t prefix) const;
-    /// Events after a sequence number that can be seen now, with gaps where events were lost.
+    bool isCached(std::uint64_t prefix) const;
+    /// Returns the visible events after a sequence number, with gaps where events were lost.
     std::vector<CacheEvent> cacheEvents(std::uint64_t after, TimePoint now) const;
     std::uint64_t prefilledTokens() const
     {
@@ -112,23 +113,23 @@
     struct Sequence
     {
         EngineRequest request;
-        std::uint32_t prefillLeft = 0;
-        std::uint32_t made = 0;
+        std::uint32_t remainingPrefill = 0;
+        std::uint32_t generated = 0;
     };
 
     void admitWaiting(TimePoint now);
     void planStep(TimePoint now);
     void finishStep(std::vector<EngineEvent> &events);
-    void touchCache(const EngineRequest &request, TimePoint now);
-    void noteCacheEvent(std::uint64_t prefix, bool stored, TimePoint now);
-    void noteLoad(TimePoint now);
+    void updateCache(const EngineRequest &request, TimePoint now);
+    void recordCacheEvent(std::uint64_t prefix, bool stored, TimePoint now);
+    void recordLoad(TimePoint now);
 
     EngineSpeed m_speed;
     double m_slowness = 1;
     std::deque<Sequence> m_waiting;
     std::vector<Sequence> m_running;
-    std::optional<TimePoint> m_stepEnd;
-    /// Prompt tokens each running sequence prefills in the present step.
+    std::optional<TimePoint> m_stepEndsAt;
+    /// Prompt tokens that each running sequence prefills in the present step.
     std::vector<std::uint32_t> m_stepPrefill;
     std::uint64_t m_prefilledTokens = 0;
     std::uint64_t m_generatedTokens = 0;
@@ -139,12 +140,12 @@
         std::uint32_t tokens;
     };
     /// Most recently used first.
-    std::list<CachedPrefix> m_cacheOrder;
+    std::list<CachedPrefix> m_cacheByRecency;
     std::unordered_map<std::uint64_t, std::list<CachedPrefix>::iterator> m_cache;
     std::uint64_t m_cachedTokens = 0;
     std::deque<CacheEvent> m_cacheEvents;
-    std::uint64_t m_cacheSequence = 0;
-    std::deque<EngineLoad> m_loads;
+    std::uint64_t m_lastCacheSequence = 0;
+    std::deque<EngineLoad> m_loadHistory;
 };
 
 }
--- a/src/bench/experiment.h
+++ b/src/bench/experiment.h
@@ -18,43 +18,43 @@
     std::uint64_t onTime = 0;
 };
 
-/// What one policy did in one run, or over several seeds.
+/// Results of one policy in one run or summed over several seeds.
 struct ExperimentResult
 {
     std::map<TierRank, TierGoodput> tiers;
     double work = 0;
     double workOnTime = 0;
     std::uint64_t prefilled = 0;
-    /// Prefilled for answers that nobody got in time, or again though cached in a free upstream.
+    /// Tokens prefilled for answers that were not on time, or although another upstream with a free slot had them cached.
     std::uint64_t wastedPrefill = 0;
     std::uint64_t late = 0;
     std::uint64_t failed = 0;
     std::uint64_t shed = 0;
-    /// From arrival to dispatch.
+    /// Time from arrival to dispatch.
     Histogram wait;
     BenchCounters counters;
-    /// Filled by the version-move experiments.
-    std::uint64_t movesGood = 0;
-    std::uint64_t movesGoodInTime = 0;
-    std::uint64_t movesBad = 0;
-    std::uint64_t movesTakenBack = 0;
-    double badShareMax = 0;
-    double badSecondsMaxFail = 0;
-    double badSecondsMaxSlow = 0;
-    /// Changes with every decision: which request went where and when.
+    /// Set only by the version-move experiments.
+    std::uint64_t goodMoves = 0;
+    std::uint64_t goodMovesInTime = 0;
+    std::uint64_t badMoves = 0;
+    std::uint64_t movesRolledBack = 0;
+    double maxBadShare = 0;
+    double maxBadSecondsFailing = 0;
+    double maxBadSecondsSlow = 0;
+    /// Checksum over the result, upstream and times of every request; changes with any decision.
     std::uint64_t signature = 0;
-    /// Each seed's goodput, for the spread: by tier, then over all.
-    std::map<TierRank, std::vector<double>> tierShares;
-    std::vector<double> allShares;
+    /// Goodput of each seed, by tier and in total, for the range over the seeds.
+    std::map<TierRank, std::vector<double>> tierGoodputs;
+    std::vector<double> totalGoodputs;
 };
 
-/// The names that --policy knows.
+/// Returns the names that --policy accepts.
 std::vector<std::string> policyNames();
 
-/// One run of one policy.
+/// Runs one policy with one seed.
 ExperimentResult runOnce(const Scenario &scenario, const std::string &policy, std::uint64_t seed);
 
-/// The sum over seeds first..last, in the order of seeds whatever the threads do.
+/// Runs the seeds first to last on several threads and sums the results in the order of the seeds, so that the sum is deterministic.
 ExperimentResult runSeeds(const Scenario &scenario, const std::string &policy, std::uint64_t first, std::uint64_t last);
 
 }
--- a/src/bench/histogram.cpp
+++ b/src/bench/histogram.cpp
@@ -5,16 +5,16 @@
 namespace cumindyke
 {
 
-std::size_t Histogram::bucketOf(std::uint64_t value)
+std::size_t Histogram::bucketIndex(std::uint64_t value)
 {
     const unsigned width = std::bit_width(value);
-    const unsigned shift = width > SubBits ? width - SubBits : 0;
-    return std::min<std::size_t>((std::size_t{shift} << (SubBits - 1)) + (value >> shift), Buckets - 1);
+    const unsigned shift = width > SubBucketBits ? width - SubBucketBits : 0;
+    return std::min<std::size_t>((std::size_t{shift} << (SubBucketBits - 1)) + (value >> shift), BucketCount - 1);
 }
 
-std::uint64_t Histogram::highestIn(std::size_t bucket)
+std::uint64_t Histogram::highestValue(std::size_t bucket)
 {
-    constexpr std::size_t Half = std::size_t{1} << (SubBits - 1);
+    constexpr std::size_t Half = std::size_t{1} << (SubBucketBits - 1);
     if (bucket < 2 * Half) {
         return bucket;
     }
@@ -25,30 +25,30 @@
 
 void Histogram::record(Duration value)
 {
-    ++m_counts[bucketOf(static_cast<std::uint64_t>(std::max<Duration::rep>(value.count(), 0)))];
+    ++m_counts[bucketIndex(static_cast<std::uint64_t>(std::max<Duration::rep>(value.count(), 0)))];
     ++m_count;
-    m_greatest = std::max(m_greatest, value);
+    m_max = std::max(m_max, value);
 }
 
 void Histogram::add(const Histogram &other)
 {
-    for (std::size_t i = 0; i < Buckets; ++i) {
+    for (std::size_t i = 0; i < BucketCount; ++i) {
         m_counts[i] += other.m_counts[i];
     }
     m_count += other.m_count;
-    m_greatest = std::max(m_greatest, other.m_greatest);
+    m_max = std::max(m_max, other.m_max);
 }
 
-Duration Histogram::percentile(double part) const
+Duration Histogram::percentile(double ratio) const
 {
-    std::uint64_t left = static_cast<std::uint64_t>(part * static_cast<double>(m_count));
-    for (std::size_t i = 0; i < Buckets; ++i) {
-        if (m_counts[i] > left) {
-            return std::min(Duration(static_cast<Duration::rep>(highestIn(i))), m_greatest);
+    std::uint64_t remaining = static_cast<std::uint64_t>(ratio * static_cast<double>(m_count));
+    for (std::size_t i = 0; i < BucketCount; ++i) {
+        if (m_counts[i] > remaining) {
+            return std::min(Duration(static_cast<Duration::rep>(highestValue(i))), m_max);
         }
-        left -= m_counts[i];
+        remaining -= m_counts[i];
     }
-    return m_greatest;
+    return m_max;
 }
 
 }
--- a/src/bench/histogram.h
+++ b/src/bench/histogram.h
@@ -9,35 +9,35 @@
 namespace cumindyke
 {
 
-/// Counts of durations in buckets whose width grows with the value, as in HdrHistogram: every value up to an hour within 1.6%,
-/// in a fixed 16 KB, with no allocation when recording.
+/// Counts durations in buckets whose width grows with the value, as in HdrHistogram. Values up to an hour are exact within 1.6%;
+/// the size is a fixed 16 KB and recording allocates nothing.
 class Histogram
 {
 public:
     void record(Duration value);
     void add(const Histogram &other);
-    /// The least recorded value that a part of all values, from 0 to 1, does not exceed; zero when there are none.
-    Duration percentile(double part) const;
+    /// Returns the smallest bucket limit that the given ratio of all values (0 to 1) does not exceed, or zero without values.
+    Duration percentile(double ratio) const;
     std::uint64_t count() const
     {
         return m_count;
     }
-    Duration greatest() const
+    Duration max() const
     {
-        return m_greatest;
+        return m_max;
     }
 
 private:
-    /// Values below 2^SubBits microseconds have buckets of their own; above, each power of two has 2^(SubBits - 1).
-    static constexpr unsigned SubBits = 7;
-    static constexpr std::size_t Buckets = std::size_t{64} << (SubBits - 1);
+    /// Values below 2^SubBucketBits microseconds have buckets of their own; above, each power of two has 2^(SubBucketBits - 1).
+    static constexpr unsigned SubBucketBits = 7;
+    static constexpr std::size_t BucketCount = std::size_t{64} << (SubBucketBits - 1);
 
-    static std::size_t bucketOf(std::uint64_t value);
-    static std::uint64_t highestIn(std::size_t bucket);
+    static std::size_t bucketIndex(std::uint64_t value);
+    static std::uint64_t highestValue(std::size_t bucket);
 
-    std::array<std::uint64_t, Buckets> m_counts{};
+    std::array<std::uint64_t, BucketCount> m_counts{};
     std::uint64_t m_count = 0;
-    Duration m_greatest{};
+    Duration m_max{};
 };
 
 }
--- a/src/bench/loadrun.cpp
+++ b/src/bench/loadrun.cpp
@@ -21,29 +21,29 @@
 namespace
 {
 
-constexpr std::size_t MaxUnderWay = 2000;
-constexpr Duration Grace = std::chrono::seconds(10);
+constexpr std::size_t MaxInFlight = 2000;
+constexpr Duration DrainTimeout = std::chrono::seconds(10);
 constexpr Duration OpenLoopTick = std::chrono::milliseconds(1);
 constexpr double MicrosecondsPerSecond = 1e6;
 
-/// One run: starts calls as the loop's kind says, and counts how they end.
+/// Sends the requests of one run in an open or a closed loop and counts their results.
 class LoadRun
 {
 public:
     explicit LoadRun(const LoadOptions &options)
         : m_options(options)
-        , m_tick(m_loop, [this] { tick(); })
-        , m_end(m_loop, [this] { stopStarting(); })
-        , m_cleanUp(m_loop, [this] { m_ended.clear(); })
+        , m_tickTimer(m_loop, [this] { tick(); })
+        , m_endTimer(m_loop, [this] { handleEndTimer(); })
+        , m_cleanUpTimer(m_loop, [this] { m_endedCalls.clear(); })
     {
     }
 
     LoadResult run()
     {
-        m_started = EventLoop::now();
-        m_end.startOnce(m_options.duration);
+        m_startedAt = EventLoop::now();
+        m_endTimer.startOnce(m_options.duration);
         if (m_options.rate > 0) {
-            m_tick.startEvery(OpenLoopTick);
+            m_tickTimer.startEvery(OpenLoopTick);
         } else {
             startUntilFull();
         }
@@ -57,20 +57,20 @@
     struct Call
     {
         TimePoint due;
-        std::unique_ptr<UpstreamCall> call;
+        std::unique_ptr<UpstreamCall> upstreamCall;
         int status = 0;
-        bool answered = false;
+        bool hasFirstByte = false;
     };
 
-    bool mayStart() const
+    bool canStart() const
     {
         return !m_stopping && m_result.sent + m_result.skipped < m_options.requests;
     }
 
     void startUntilFull()
     {
-        while (mayStart() && m_calls.size() < m_options.concurrency) {
-            start(EventLoop::now());
+        while (canStart() && m_calls.size() < m_options.concurrency) {
+            startCall(EventLoop::now());
         }
         finishIfDone();
     }
@@ -79,61 +79,61 @@
     {
         const auto gap = Duration(static_cast<Duration::rep>(MicrosecondsPerSecond / m_options.rate));
         const TimePoint now = EventLoop::now();
-        for (TimePoint due = m_started + gap * (m_result.sent + m_result.skipped); mayStart() && due <= now; due += gap) {
-            if (m_calls.size() >= MaxUnderWay) {
+        for (TimePoint due = m_startedAt + gap * (m_result.sent + m_result.skipped); canStart() && due <= now; due += gap) {
+            if (m_calls.size() >= MaxInFlight) {
                 ++m_result.skipped;
                 continue;
             }
-            start(due);
+            startCall(due);
         }
         finishIfDone();
     }
 
-    void start(TimePoint due)
+    void startCall(TimePoint due)
     {
-        const std::uint64_t number = ++m_result.sent;
+        const std::uint64_t callNumber = ++m_result.sent;
         UpstreamRequest request{
-            .id = RequestId{m_prefix + std::to_string(number)},
+            .id = RequestId{m_idPrefix + std::to_string(callNumber)},
             .address = m_options.address,
             .method = m_options.body.empty() ? "GET" : "POST",
             .target = m_options.path,
             .headers = {{"Content-Type", "application/json"}},
             .body = m_options.body,
         };
-        if (!m_options.key.empty()) {
-            request.headers.emplace_back("Authorization", "Bearer " + m_options.key);
+        if (!m_options.apiKey.empty()) {
+            request.headers.emplace_back("Authorization", "Bearer " + m_options.apiKey);
         }
         auto call = std::make_unique<Call>();
         call->due = due;
-        call->call = std::make_unique<UpstreamCall>(m_loop, std::move(request), ProgressTimeouts{});
-        Call *held = call.get();
-        held->call->head().connect([held](const AnswerHead &head) { held->status = head.status; });
-        held->call->data().connect([this, held](std::string_view) {
-            if (!std::exchange(held->answered, true)) {
-                m_result.firstByte.record(EventLoop::now() - held->due);
+        call->upstreamCall = std::make_unique<UpstreamCall>(m_loop, std::move(request), ProgressTimeouts{});
+        Call *state = call.get();
+        state->upstreamCall->head().connect([state](const AnswerHead &head) { state->status = head.status; });
+        state->upstreamCall->data().connect([this, state](std::string_view) {
+            if (!std::exchange(state->hasFirstByte, true)) {
+                m_result.timeToFirstByte.record(EventLoop::now() - state->due);
             }
         });
-        held->call->finished().connect([this, number, held] {
-            ++m_result.statuses[held->status];
-            m_result.whole.record(EventLoop::now() - held->due);
-            ended(number);
+        state->upstreamCall->finished().connect([this, callNumber, state] {
+            ++m_result.statuses[state->status];
+            m_result.totalTime.record(EventLoop::now() - state->due);
+            removeCall(callNumber);
         });
-        held->call->failed().connect([this, number](CallFailure) {
-            ++m_result.lost;
-            ended(number);
+        state->upstreamCall->failed().connect([this, callNumber](CallFailure) {
+            ++m_result.failed;
+            removeCall(callNumber);
         });
-        m_calls.emplace(number, std::move(call));
-        held->call->start();
+        m_calls.emplace(callNumber, std::move(call));
+        state->upstreamCall->start();
     }
 
-    void ended(std::uint64_t number)
+    void removeCall(std::uint64_t callNumber)
     {
-        const auto found = m_calls.find(number);
-        // Its signal is still under way: the loop destroys it.
-        m_ended.push_back(std::move(found->second));
+        const auto found = m_calls.find(callNumber);
+        // The call is still emitting its signal, so it is destroyed later from the event loop.
+        m_endedCalls.push_back(std::move(found->second));
         m_calls.erase(found);
-        m_cleanUp.startOnce(Duration::zero());
-        m_result.took = EventLoop::now() - m_started;
+        m_cleanUpTimer.startOnce(Duration::zero());
+        m_result.elapsed = EventLoop::now() - m_startedAt;
         if (m_options.rate <= 0) {
             startUntilFull();
         } else {
@@ -141,35 +141,35 @@
         }
     }
 
-    void stopStarting()
+    void handleEndTimer()
     {
         if (std::exchange(m_stopping, true)) {
             m_loop.stop();
             return;
         }
-        m_end.startOnce(Grace);
+        m_endTimer.startOnce(DrainTimeout);
         finishIfDone();
     }
 
     void finishIfDone()
     {
-        if (!mayStart() && m_calls.empty()) {
+        if (!canStart() && m_calls.empty()) {
             m_loop.stop();
         }
     }
 
     const LoadOptions &m_options;
-    /// Differs from run to run, for upstreams may remember ids.
-    const std::string m_prefix = "load-" + std::to_string(std::random_device()()) + "-";
+    /// Differs from run to run, since upstreams may remember request ids.
+    const std::string m_idPrefix = "load-" + std::to_string(std::random_device()()) + "-";
     EventLoop m_loop;
-    Timer m_tick;
-    Timer m_end;
-    Timer m_cleanUp;
-    TimePoint m_started;
+    Timer m_tickTimer;
+    Timer m_endTimer;
+    Timer m_cleanUpTimer;
+    TimePoint m_startedAt;
     bool m_stopping = false;
     LoadResult m_result;
     std::map<std::uint64_t, std::unique_ptr<Call>> m_calls;
-    std::vector<std::unique_ptr<Call>> m_ended;
+    std::vector<std::unique_ptr<Call>> m_endedCalls;
 };
 
 constexpr std::array<double, 5> Percentiles{0.5, 0.9, 0.99, 0.999, 1.0};
@@ -177,10 +177,10 @@
 nlohmann::ordered_json percentilesJson(const Histogram &histogram)
 {
     nlohmann::ordered_json values;
-    for (const double part : Percentiles) {
+    for (const double ratio : Percentiles) {
         std::ostringstream name;
-        name << "p" << part * 100;
-        values[name.str()] = static_cast<double>(histogram.percentile(part).count()) / 1000;
+        name << "p" << ratio * 100;
+        values[name.str()] = static_cast<double>(histogram.percentile(ratio).count()) / 1000;
     }
     return values;
 }
@@ -190,7 +190,7 @@
 Result<LoadOptions> parseLoadUrl(const std::string &url)
 {
     constexpr std::string_view Scheme = "http://";
-    const Error wrong{ErrorKind::BadRequest, "'" + url + "' is no URL of a daemon: write http://HOST:PORT/PATH with an IPv4 address"};
+    const Error wrong{ErrorKind::BadRequest, "'" + url + "' is not the URL of a daemon: write http://HOST:PORT/PATH with an IPv4 address"};
     if (!url.starts_with(Scheme)) {
         return wrong;
     }
@@ -214,8 +214,8 @@
 
 void printLoad(std::ostream &out, const LoadResult &result, bool json)
 {
-    const double seconds = static_cast<double>(result.took.count()) / MicrosecondsPerSecond;
-    const double rate = seconds > 0 ? static_cast<double>(result.whole.count()) / seconds : 0;
+    const double seconds = static_cast<double>(result.elapsed.count()) / MicrosecondsPerSecond;
+    const double rate = seconds > 0 ? static_cast<double>(result.totalTime.count()) / seconds : 0;
     if (json) {
         nlohmann::ordered_json statuses = nlohmann::ordered_json::object();
         for (const auto &[status, count] : result.statuses) {
@@ -224,26 +224,26 @@
         out << nlohmann::ordered_json{{"sent", result.sent},
                                       {"skipped", result.skipped},
                                       {"statuses", statuses},
-                                      {"lost", result.lost},
+                                      {"lost", result.failed},
                                       {"unfinished", result.unfinished},
                                       {"seconds", seconds},
                                       {"requests_per_second", rate},
-                                      {"first_byte_ms", percentilesJson(result.firstByte)},
-                                      {"whole_ms", percentilesJson(result.whole)}}
+                                      {"first_byte_ms", percentilesJson(result.timeToFirstByte)},
+                                      {"whole_ms", percentilesJson(result.totalTime)}}
                    .dump(2)
             << "\n";
         return;
     }
-    out << "sent " << result.sent << ", skipped " << result.skipped << ", lost " << result.lost << ", unfinished " << result.unfinished << "; answers";
+    out << "sent " << result.sent << ", skipped " << result.skipped << ", lost " << result.failed << ", unfinished " << result.unfinished << "; answers";
     for (const auto &[status, count] : result.statuses) {
         out << "  " << status << ": " << count;
     }
     out << std::fixed << std::setprecision(3) << "\n" << rate << " requests a second over " << seconds << " s\n";
-    for (const auto &[name, histogram] : {std::pair("first byte, ms", &result.firstByte), std::pair("whole, ms", &result.whole)}) {
+    for (const auto &[name, histogram] : {std::pair("first byte, ms", &result.timeToFirstByte), std::pair("whole, ms", &result.totalTime)}) {
         out << std::left << std::setw(16) << name << std::right;
-        for (const double part : Percentiles) {
-            out << "  p" << std::setprecision(1) << part * 100 << " " << std::setprecision(3)
-                << static_cast<double>(histogram->percentile(part).count()) / 1000;
+        for (const double ratio : Percentiles) {
+            out << "  p" << std::setprecision(1) << ratio * 100 << " " << std::setprecision(3)
+                << static_cast<double>(histogram->percentile(ratio).count()) / 1000;
         }
         out << "\n";
     }
--- a/src/bench/moveoutcomes.cpp
+++ b/src/bench/moveoutcomes.cpp
@@ -15,37 +15,37 @@
 {
 
 constexpr std::size_t EntryVms = 8;
-constexpr std::size_t UpstreamsEach = 12;
-constexpr std::uint32_t Slots = 32;
-/// Requests that wait for a slot; more are refused.
-constexpr std::size_t MostWaiting = 100;
+constexpr std::size_t UpstreamsPerVersion = 12;
+constexpr std::uint32_t SlotsPerUpstream = 32;
+/// Maximum number of queued requests; more are refused.
+constexpr std::size_t MaxWaiting = 100;
 constexpr Duration ReportInterval = std::chrono::milliseconds(250);
-/// Reports that are lost.
-constexpr double LostReports = 0.05;
-/// A decision is in force on a VM after this long, and up to as much again.
+/// Ratio of reports that are lost.
+constexpr double ReportLossRatio = 0.05;
+/// Minimum delay until a decision takes effect on a VM; the maximum is twice as long.
 constexpr Duration DecisionDelay = std::chrono::milliseconds(200);
-/// Requests that fail on any version.
-constexpr double BaseFailures = 0.002;
+/// Ratio of requests that fail on any version.
+constexpr double BaseFailureRatio = 0.002;
 constexpr double FirstTokenSeconds = 0.15;
-constexpr double PaceSeconds = 0.0105;
-constexpr double FirstTokenSpread = 0.35;
-constexpr double PaceSpread = 0.1;
-/// The new version's first tokens take this much longer in the first seconds of each upstream: its prefix cache is cold.
-constexpr double ColdFactor = 1.3;
-constexpr Duration ColdFor = std::chrono::seconds(20);
+constexpr double SecondsPerToken = 0.0105;
+constexpr double FirstTokenSigma = 0.35;
+constexpr double PaceSigma = 0.1;
+/// Slowdown of first tokens on a new upstream during its first seconds, while its prefix cache is cold.
+constexpr double ColdCacheSlowdown = 1.3;
+constexpr Duration ColdCacheDuration = std::chrono::seconds(20);
 const ServiceName Drafting{"drafting"};
 const VersionName OldVersion{"v1"};
 const VersionName NewVersion{"v2"};
 
-/// Draws by documented formulas on a generator that the standard fixes, so a seed gives the same run on every machine.
-class Draws
+/// Random values by documented formulas on a generator that the C++ standard fixes, so that a seed gives the same run on every machine.
+class MoveRandom
 {
 public:
-    explicit Draws(std::uint64_t seed)
+    explicit MoveRandom(std::uint64_t seed)
         : m_generator(seed)
     {
     }
-    /// Even in [0, 1).
+    /// Uniform in [0, 1).
     double uniform()
     {
         return static_cast<double>(m_generator() >> 11) * 0x1p-53;
@@ -54,7 +54,7 @@
     {
         return -mean * std::log(1 - uniform());
     }
-    /// Box-Muller.
+    /// Log-normal with median 1, by the Box-Muller method.
     double logNormal(double sigma)
     {
         const double radius = std::sqrt(-2 * std::log(1 - uniform()));
@@ -79,7 +79,7 @@
     TimePoint firstTokenAt;
     TimePoint endAt;
     double pace = 0;
-    std::uint8_t passed = 0;
+    std::uint8_t passedThresholds = 0;
     bool fails = false;
     bool affected = false;
     bool hasFirstToken = false;
@@ -88,15 +88,15 @@
 
 struct Event
 {
-    enum class Kind { Arrival, FirstToken, Paced, End, Report, Look, Decision };
+    enum class Kind { Arrival, FirstToken, EarlyPace, End, Report, RampStep, Decision };
     TimePoint at;
-    std::uint64_t order = 0;
+    std::uint64_t sequence = 0;
     Kind kind = Kind::Arrival;
-    std::size_t subject = 0;
+    std::size_t index = 0;
 
     bool operator>(const Event &other) const
     {
-        return std::tie(at, order) > std::tie(other.at, other.order);
+        return std::tie(at, sequence) > std::tie(other.at, other.sequence);
     }
 };
 
@@ -104,24 +104,24 @@
 {
     VersionRouter router;
     OutcomeCounters counters;
-    std::vector<std::size_t> awaiting;
+    std::vector<std::size_t> awaitingFirstToken;
     std::uint64_t sequence = 0;
 };
 
 Declarations makeDeclarations()
 {
-    std::vector<Change> puts{Service{.name = Drafting, .version = OldVersion}};
-    for (std::size_t i = 0; i < 2 * UpstreamsEach; ++i) {
-        puts.emplace_back(Upstream{
-            .name = UpstreamName{(i < UpstreamsEach ? "old-" : "new-") + std::to_string(100 + i)},
+    std::vector<Change> changes{Service{.name = Drafting, .version = OldVersion}};
+    for (std::size_t i = 0; i < 2 * UpstreamsPerVersion; ++i) {
+        changes.emplace_back(Upstream{
+            .name = UpstreamName{(i < UpstreamsPerVersion ? "old-" : "new-") + std::to_string(100 + i)},
             .service = Drafting,
-            .version = i < UpstreamsEach ? OldVersion : NewVersion,
+            .version = i < UpstreamsPerVersion ? OldVersion : NewVersion,
             .dataCentre = DataCentreName{"amman-1"},
             .address = Address{"10.0.0.1", static_cast<std::uint16_t>(9'000 + i)},
-            .slots = Slots,
+            .slots = SlotsPerUpstream,
         });
     }
-    return Declarations::restored(Revision{1}, puts);
+    return Declarations::restored(Revision{1}, changes);
 }
 
 class MoveExperiment
@@ -129,18 +129,18 @@
 public:
     MoveExperiment(const MoveScenario &scenario, std::uint64_t seed)
         : m_scenario(scenario)
-        , m_draws(seed)
+        , m_random(seed)
         , m_declarations(makeDeclarations())
         , m_move(valueOf(Move::start(m_declarations, Drafting, NewVersion, WallTime{scenario.window.count() / 1'000}, WallTime{0})))
-        , m_ramp(m_move, UpstreamsEach, WallTime{0})
-        , m_faultAt(TimePoint{} + seconds(faultAfter() * toSeconds(scenario.window)))
+        , m_ramp(m_move, UpstreamsPerVersion, WallTime{0})
+        , m_faultAt(TimePoint{} + seconds(randomFaultStart() * toSeconds(scenario.window)))
     {
     }
 
-    MoveRun run()
+    MoveResult run()
     {
         push(TimePoint{}, Event::Kind::Arrival, 0);
-        push(TimePoint{}, Event::Kind::Look, 0);
+        push(TimePoint{}, Event::Kind::RampStep, 0);
         for (std::size_t vm = 0; vm < EntryVms; ++vm) {
             m_vms[vm].router.setMoves({m_move});
             push(TimePoint{} + ReportInterval * static_cast<int>(vm) / static_cast<int>(EntryVms), Event::Kind::Report, vm);
@@ -154,11 +154,11 @@
         }
         m_result.done = m_move.state == MoveState::Done;
         m_result.inTime = m_result.done && m_move.stateSince <= m_move.deadline;
-        m_result.takenBack = m_move.state == MoveState::RolledBack;
+        m_result.rolledBack = m_move.state == MoveState::RolledBack;
         m_result.reason = m_move.reason;
         m_result.endedAfter = std::chrono::milliseconds(m_move.stateSince.value);
-        m_result.badShare = static_cast<double>(m_newAfterFault) / static_cast<double>(std::max<std::uint64_t>(1, m_requests));
-        m_result.badSeconds = m_firstBadAt && m_lastNewAt > *m_firstBadAt ? toSeconds(m_lastNewAt - *m_firstBadAt) : 0;
+        m_result.badShare = static_cast<double>(m_newRequestsAfterFault) / static_cast<double>(std::max<std::uint64_t>(1, m_requests));
+        m_result.badSeconds = m_firstBadAt && m_lastNewDispatchAt > *m_firstBadAt ? toSeconds(m_lastNewDispatchAt - *m_firstBadAt) : 0;
         return m_result;
     }
 
@@ -167,13 +167,13 @@
     {
         return static_cast<double>(duration.count()) / 1e6;
     }
-    double faultAfter()
+    double randomFaultStart()
     {
-        return m_scenario.fault.after > 0 ? m_scenario.fault.after * (0.1 + 0.9 * m_draws.uniform()) : 0;
+        return m_scenario.fault.startRatio > 0 ? m_scenario.fault.startRatio * (0.1 + 0.9 * m_random.uniform()) : 0;
     }
-    void push(TimePoint at, Event::Kind kind, std::size_t subject)
+    void push(TimePoint at, Event::Kind kind, std::size_t index)
     {
-        m_events.push(Event{.at = at, .order = ++m_order, .kind = kind, .subject = subject});
+        m_events.push(Event{.at = at, .sequence = ++m_lastSequence, .kind = kind, .index = index});
     }
     WallTime wallNow() const
     {
@@ -184,94 +184,94 @@
     {
         switch (event.kind) {
         case Event::Kind::Arrival:
-            arrive();
-            push(m_now + seconds(m_draws.exponential(1 / m_scenario.requestsPerSecond)), Event::Kind::Arrival, 0);
+            handleArrival();
+            push(m_now + seconds(m_random.exponential(1 / m_scenario.requestsPerSecond)), Event::Kind::Arrival, 0);
             break;
         case Event::Kind::FirstToken:
-            firstToken(m_running[event.subject]);
+            handleFirstToken(m_running[event.index]);
             break;
-        case Event::Kind::Paced:
-            m_vms[m_running[event.subject].vm].counters.recordTokenInterval(m_running[event.subject].key, seconds(m_running[event.subject].pace));
+        case Event::Kind::EarlyPace:
+            m_vms[m_running[event.index].vm].counters.recordTokenInterval(m_running[event.index].key, seconds(m_running[event.index].pace));
             break;
         case Event::Kind::End:
-            end(m_running[event.subject]);
+            handleEnd(m_running[event.index]);
             break;
         case Event::Kind::Report:
-            report(event.subject);
-            push(m_now + ReportInterval, Event::Kind::Report, event.subject);
+            sendReport(event.index);
+            push(m_now + ReportInterval, Event::Kind::Report, event.index);
             break;
-        case Event::Kind::Look:
-            look();
-            push(m_now + std::chrono::milliseconds(EvaluationIntervalMs), Event::Kind::Look, 0);
+        case Event::Kind::RampStep:
+            advanceRamp();
+            push(m_now + std::chrono::milliseconds(EvaluationIntervalMs), Event::Kind::RampStep, 0);
             break;
         case Event::Kind::Decision:
-            m_vms[event.subject].router.setMoves({m_move});
+            m_vms[event.index].router.setMoves({m_move});
             break;
         }
     }
 
-    /// The least full upstream among those the version may use.
-    std::size_t pickUpstream(bool isNew) const
+    /// Returns the least loaded upstream among those that the version may use.
+    std::size_t leastLoadedUpstream(bool isNew) const
     {
-        return leastFull(isNew, isNew ? m_newInMove : m_oldInMove);
+        return leastLoadedAmong(isNew, isNew ? m_newUpstreamCount : m_oldUpstreamCount);
     }
 
-    std::size_t leastFull(bool isNew, std::size_t count) const
+    std::size_t leastLoadedAmong(bool isNew, std::size_t count) const
     {
-        const std::size_t first = isNew ? UpstreamsEach : 0;
+        const std::size_t first = isNew ? UpstreamsPerVersion : 0;
         const auto begin = m_inFlight.begin() + static_cast<std::ptrdiff_t>(first);
         return static_cast<std::size_t>(std::min_element(begin, begin + static_cast<std::ptrdiff_t>(count)) - m_inFlight.begin());
     }
 
-    void arrive()
+    void handleArrival()
     {
         ++m_requests;
-        const std::size_t vm = std::min(EntryVms - 1, static_cast<std::size_t>(m_draws.uniform() * static_cast<double>(EntryVms)));
+        const std::size_t vm = std::min(EntryVms - 1, static_cast<std::size_t>(m_random.uniform() * static_cast<double>(EntryVms)));
         const RequestId id{"vm" + std::to_string(vm) + "-" + std::to_string(m_requests)};
         bool isNew = m_vms[vm].router.choose(Drafting, m_move.state == MoveState::Done ? NewVersion : OldVersion, id, false, m_now) == NewVersion;
-        std::size_t upstream = pickUpstream(isNew);
-        if (m_inFlight[upstream] >= Slots && m_move.isOpen()) {
+        std::size_t upstream = leastLoadedUpstream(isNew);
+        if (m_inFlight[upstream] >= SlotsPerUpstream && m_move.isOpen()) {
             isNew = false;
-            upstream = leastFull(false, UpstreamsEach);
+            upstream = leastLoadedAmong(false, UpstreamsPerVersion);
         }
-        if (m_inFlight[upstream] >= Slots) {
-            if (m_waiting.size() < MostWaiting) {
+        if (m_inFlight[upstream] >= SlotsPerUpstream) {
+            if (m_waiting.size() < MaxWaiting) {
                 m_waiting.emplace_back(vm, isNew);
             }
             return;
         }
-        send(vm, upstream, isNew);
+        dispatch(vm, upstream, isNew);
     }
 
-    /// Requests that found all slots taken go on in the order of their arrival, as slots of their version come free.
-    void serveWaiting()
+    /// Dispatches the first waiting request that has a free slot, in order of arrival.
+    void dispatchWaiting()
     {
         for (auto waiting = m_waiting.begin(); waiting != m_waiting.end(); ++waiting) {
-            const auto [vm, meant] = *waiting;
-            bool isNew
-                = m_move.state == MoveState::Done || (meant && m_vms[vm].router.openMove(Drafting) != nullptr && !m_vms[vm].router.isTripped(Drafting, m_now));
-            std::size_t upstream = pickUpstream(isNew);
-            if (m_inFlight[upstream] >= Slots && m_move.isOpen()) {
+            const auto [vm, assignedToNew] = *waiting;
+            bool isNew = m_move.state == MoveState::Done
+                || (assignedToNew && m_vms[vm].router.openMove(Drafting) != nullptr && !m_vms[vm].router.isTripped(Drafting, m_now));
+            std::size_t upstream = leastLoadedUpstream(isNew);
+            if (m_inFlight[upstream] >= SlotsPerUpstream && m_move.isOpen()) {
                 isNew = false;
-                upstream = leastFull(false, UpstreamsEach);
+                upstream = leastLoadedAmong(false, UpstreamsPerVersion);
             }
-            if (m_inFlight[upstream] >= Slots) {
+            if (m_inFlight[upstream] >= SlotsPerUpstream) {
                 continue;
             }
             m_waiting.erase(waiting);
-            send(vm, upstream, isNew);
+            dispatch(vm, upstream, isNew);
             return;
         }
     }
 
-    void send(std::size_t vm, std::size_t upstream, bool isNew)
+    void dispatch(std::size_t vm, std::size_t upstream, bool isNew)
     {
-        const double load = static_cast<double>(m_inFlight[upstream]) / Slots;
-        const double length = m_draws.uniform();
+        const double load = static_cast<double>(m_inFlight[upstream]) / SlotsPerUpstream;
+        const double length = m_random.uniform();
         RunningRequest request{
             .key = OutcomeKey{.service = Drafting,
                               .version = isNew ? NewVersion : OldVersion,
-                              .route = m_draws.uniform() < 0.7 ? "completions" : "chat",
+                              .route = m_random.uniform() < 0.7 ? "completions" : "chat",
                               .lengthClass = static_cast<std::uint8_t>(length < 0.3       ? 5
                                                                            : length < 0.8 ? 7
                                                                                           : 9),
@@ -281,60 +281,60 @@
             .upstream = upstream,
             .sentAt = m_now,
         };
-        plan(request, load, isNew);
+        planRequest(request, load, isNew);
         if (isNew && m_now >= m_faultAt && !m_scenario.good) {
-            ++m_newAfterFault;
-            m_lastNewAt = m_now;
+            ++m_newRequestsAfterFault;
+            m_lastNewDispatchAt = m_now;
         }
         ++m_inFlight[upstream];
         m_vms[vm].counters.sent(request.key);
-        m_vms[vm].awaiting.push_back(m_running.size());
+        m_vms[vm].awaitingFirstToken.push_back(m_running.size());
         push(request.firstTokenAt, Event::Kind::FirstToken, m_running.size());
         if (!request.fails) {
-            push(std::min(request.endAt, request.firstTokenAt + seconds(request.pace * PaceSampleTokens)), Event::Kind::Paced, m_running.size());
+            push(std::min(request.endAt, request.firstTokenAt + seconds(request.pace * PaceSampleTokens)), Event::Kind::EarlyPace, m_running.size());
         }
         push(request.endAt, Event::Kind::End, m_running.size());
         m_running.push_back(std::move(request));
     }
 
-    /// When the request's tokens come, and whether it fails.
-    void plan(RunningRequest &request, double load, bool isNew)
+    /// Decides the times of the request's tokens and whether it fails.
+    void planRequest(RunningRequest &request, double load, bool isNew)
     {
         const MoveFault &fault = m_scenario.fault;
-        const bool hit = isNew && !m_scenario.good && m_now >= m_faultAt && load >= fault.overLoad && (fault.route.empty() || fault.route == request.key.route)
-            && (!fault.lengthClass || *fault.lengthClass == request.key.lengthClass);
-        const bool fleetSlow = m_now >= TimePoint{} + seconds(m_scenario.fleetSlowAfter * toSeconds(m_scenario.window));
-        double factor = (hit ? fault.slowness : 1) * (fleetSlow ? m_scenario.fleetSlowness : 1);
-        const double first
-            = FirstTokenSeconds * (1 + 2 * load * load) * m_draws.logNormal(FirstTokenSpread) * factor * (isNew && isCold(request.upstream) ? ColdFactor : 1);
-        request.pace = PaceSeconds * (1 + load) * m_draws.logNormal(PaceSpread) * factor;
-        const double tokens = std::exp2(request.key.lengthClass) * (0.5 + 0.5 * m_draws.uniform());
-        request.affected = hit && (fault.slowness > 1 || m_draws.uniform() < fault.failing);
-        request.fails = (hit && fault.slowness <= 1 && request.affected) || m_draws.uniform() < BaseFailures;
-        // A failing request fails at once or with its first token.
-        const bool atOnce = request.fails && m_draws.uniform() < 0.5;
-        request.firstTokenAt = m_now + seconds(atOnce ? 0.03 : first);
+        const bool inFault = isNew && !m_scenario.good && m_now >= m_faultAt && load >= fault.minLoadRatio
+            && (fault.route.empty() || fault.route == request.key.route) && (!fault.lengthClass || *fault.lengthClass == request.key.lengthClass);
+        const bool fleetSlow = m_now >= TimePoint{} + seconds(m_scenario.fleetSlowdownStart * toSeconds(m_scenario.window));
+        double factor = (inFault ? fault.slowness : 1) * (fleetSlow ? m_scenario.fleetSlowdown : 1);
+        const double first = FirstTokenSeconds * (1 + 2 * load * load) * m_random.logNormal(FirstTokenSigma) * factor
+            * (isNew && isCold(request.upstream) ? ColdCacheSlowdown : 1);
+        request.pace = SecondsPerToken * (1 + load) * m_random.logNormal(PaceSigma) * factor;
+        const double tokens = std::exp2(request.key.lengthClass) * (0.5 + 0.5 * m_random.uniform());
+        request.affected = inFault && (fault.slowness > 1 || m_random.uniform() < fault.failureRatio);
+        request.fails = (inFault && fault.slowness <= 1 && request.affected) || m_random.uniform() < BaseFailureRatio;
+        // Half of the failing requests fail at once, the others at the time of their first token.
+        const bool failsImmediately = request.fails && m_random.uniform() < 0.5;
+        request.firstTokenAt = m_now + seconds(failsImmediately ? 0.03 : first);
         request.endAt = request.fails ? request.firstTokenAt : request.firstTokenAt + seconds(tokens * request.pace);
     }
 
     bool isCold(std::size_t upstream)
     {
         const auto [found, isFirst] = m_firstUse.try_emplace(upstream, m_now);
-        return m_now - found->second < ColdFor;
+        return m_now - found->second < ColdCacheDuration;
     }
 
-    void firstToken(RunningRequest &request)
+    void handleFirstToken(RunningRequest &request)
     {
         request.hasFirstToken = true;
         if (!request.fails) {
-            m_vms[request.vm].counters.recordFirstTokenWait(request.key, request.passed, m_now - request.sentAt);
+            m_vms[request.vm].counters.recordFirstTokenWait(request.key, request.passedThresholds, m_now - request.sentAt);
         }
         if (request.affected && !m_firstBadAt) {
             m_firstBadAt = m_now;
         }
     }
 
-    void end(RunningRequest &request)
+    void handleEnd(RunningRequest &request)
     {
         request.ended = true;
         --m_inFlight[request.upstream];
@@ -342,26 +342,26 @@
         OutcomeCounts &counts = vm.counters.ended(request.key);
         ++(request.fails ? counts.failed : counts.onTime);
         vm.router.ended(Drafting, request.key.version, request.fails, m_now);
-        serveWaiting();
+        dispatchWaiting();
     }
 
-    void report(std::size_t number)
+    void sendReport(std::size_t number)
     {
         EntryVm &vm = m_vms[number];
-        std::erase_if(vm.awaiting, [&](std::size_t index) {
+        std::erase_if(vm.awaitingFirstToken, [&](std::size_t index) {
             RunningRequest &request = m_running[index];
             if (!request.hasFirstToken) {
-                vm.counters.recordFirstTokenWait(request.key, request.passed, m_now - request.sentAt);
+                vm.counters.recordFirstTokenWait(request.key, request.passedThresholds, m_now - request.sentAt);
             }
             return request.hasFirstToken;
         });
         ++vm.sequence;
-        if (m_draws.uniform() >= LostReports) {
+        if (m_random.uniform() >= ReportLossRatio) {
             m_collector.take(VmName{"vm" + std::to_string(number)}, "1", vm.sequence, vm.counters.counts());
         }
     }
 
-    void look()
+    void advanceRamp()
     {
         if (!m_move.isOpen()) {
             return;
@@ -374,35 +374,35 @@
         if (m_result.firstShare == 0) {
             m_result.firstShare = m_move.share.value;
         }
-        m_newInMove = upstreamsInMove(m_declarations, m_move, NewVersion).size();
-        m_oldInMove = upstreamsInMove(m_declarations, m_move, OldVersion).size();
+        m_newUpstreamCount = upstreamsInMove(m_declarations, m_move, NewVersion).size();
+        m_oldUpstreamCount = upstreamsInMove(m_declarations, m_move, OldVersion).size();
         for (std::size_t vm = 0; vm < EntryVms; ++vm) {
-            push(m_now + DecisionDelay + seconds(toSeconds(DecisionDelay) * m_draws.uniform()), Event::Kind::Decision, vm);
+            push(m_now + DecisionDelay + seconds(toSeconds(DecisionDelay) * m_random.uniform()), Event::Kind::Decision, vm);
         }
     }
 
     const MoveScenario &m_scenario;
-    Draws m_draws;
+    MoveRandom m_random;
     Declarations m_declarations;
     Move m_move;
     MoveRamp m_ramp;
     TimePoint m_faultAt;
     TimePoint m_now;
     std::array<EntryVm, EntryVms> m_vms;
-    std::array<std::uint32_t, 2 * UpstreamsEach> m_inFlight{};
-    std::size_t m_newInMove = 1;
-    std::size_t m_oldInMove = UpstreamsEach;
+    std::array<std::uint32_t, 2 * UpstreamsPerVersion> m_inFlight{};
+    std::size_t m_newUpstreamCount = 1;
+    std::size_t m_oldUpstreamCount = UpstreamsPerVersion;
     std::map<std::size_t, TimePoint> m_firstUse;
     std::vector<RunningRequest> m_running;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
-    std::uint64_t m_order = 0;
+    std::uint64_t m_lastSequence = 0;
     OutcomeCollector m_collector;
     std::deque<std::pair<std::size_t, bool>> m_waiting;
     std::uint64_t m_requests = 0;
-    std::uint64_t m_newAfterFault = 0;
+    std::uint64_t m_newRequestsAfterFault = 0;
     std::optional<TimePoint> m_firstBadAt;
-    TimePoint m_lastNewAt;
-    MoveRun m_result;
+    TimePoint m_lastNewDispatchAt;
+    MoveResult m_result;
 };
 
 }
@@ -411,29 +411,29 @@
 {
     static const std::vector<MoveScenario> Scenarios{
         {.name = "move-good", .good = true},
-        {.name = "move-fails-at-once", .fault = {.failing = 1}},
-        {.name = "move-fails-in-part", .fault = {.failing = 0.3}},
-        {.name = "move-slows-at-once", .slows = true, .fault = {.slowness = 3}},
-        {.name = "move-fails-later", .fault = {.after = 0.75, .failing = 1}},
-        {.name = "move-slows-later", .slows = true, .fault = {.after = 0.75, .slowness = 3}},
-        {.name = "move-fails-under-load", .fault = {.failing = 1, .overLoad = 0.7}},
-        {.name = "move-slows-under-load", .slows = true, .fault = {.slowness = 3, .overLoad = 0.7}},
-        {.name = "move-fails-on-one-route", .fault = {.failing = 1, .route = "chat"}},
-        {.name = "move-slows-for-long-answers", .slows = true, .fault = {.slowness = 3, .lengthClass = 9}},
-        {.name = "move-good-while-fleet-slows", .good = true, .fleetSlowness = 2},
+        {.name = "move-fails-at-once", .fault = {.failureRatio = 1}},
+        {.name = "move-fails-in-part", .fault = {.failureRatio = 0.3}},
+        {.name = "move-slows-at-once", .slowsDown = true, .fault = {.slowness = 3}},
+        {.name = "move-fails-later", .fault = {.startRatio = 0.75, .failureRatio = 1}},
+        {.name = "move-slows-later", .slowsDown = true, .fault = {.startRatio = 0.75, .slowness = 3}},
+        {.name = "move-fails-under-load", .fault = {.failureRatio = 1, .minLoadRatio = 0.7}},
+        {.name = "move-slows-under-load", .slowsDown = true, .fault = {.slowness = 3, .minLoadRatio = 0.7}},
+        {.name = "move-fails-on-one-route", .fault = {.failureRatio = 1, .route = "chat"}},
+        {.name = "move-slows-for-long-answers", .slowsDown = true, .fault = {.slowness = 3, .lengthClass = 9}},
+        {.name = "move-good-while-fleet-slows", .good = true, .fleetSlowdown = 2},
         {.name = "move-too-little-traffic", .good = true, .undecidable = true, .requestsPerSecond = 0.1},
         {.name = "move-deadline-too-tight", .good = true, .undecidable = true, .window = std::chrono::seconds(30)},
     };
     return Scenarios;
 }
 
-const MoveScenario *moveScenario(const std::string &name)
+const MoveScenario *findMoveScenario(const std::string &name)
 {
     const auto found = std::ranges::find(moveScenarios(), name, &MoveScenario::name);
     return found == moveScenarios().end() ? nullptr : &*found;
 }
 
-MoveRun runMove(const MoveScenario &scenario, std::uint64_t seed)
+MoveResult runMove(const MoveScenario &scenario, std::uint64_t seed)
 {
     return MoveExperiment(scenario, seed).run();
 }
--- a/src/bench/moveoutcomes.h
+++ b/src/bench/moveoutcomes.h
@@ -7,68 +7,68 @@
 #include <string>
 #include <vector>
 
-/// Version moves in virtual time: a generator of outcomes per version drives the shipped counters, router, ramp and verdict.
+/// Simulates version moves in virtual time: generated outcomes of each version drive the shipped counters, router, ramp and verdict.
 namespace cumindyke
 {
 
-/// What is wrong with the new version, and since when.
+/// A fault of the new version.
 struct MoveFault
 {
-    /// Part of the window from start to deadline after which the fault begins.
-    double after = 0;
-    /// Part of the requests that fail.
-    double failing = 0;
-    /// Factor on every time.
+    /// Latest start of the fault, as a ratio of the window from start to deadline; 0: from the start.
+    double startRatio = 0;
+    /// Ratio of the requests that fail.
+    double failureRatio = 0;
+    /// Factor on the times to the first token and between tokens.
     double slowness = 1;
-    /// Only while the upstream has more than this part of its slots in use.
-    double overLoad = 0;
-    /// Only on this route, if any.
+    /// Minimum ratio of the upstream's slots in use for the fault to occur.
+    double minLoadRatio = 0;
+    /// Limits the fault to this route, unless empty.
     std::string route;
-    /// Only for this length class, if any.
+    /// Limits the fault to this length class, if set.
     std::optional<std::uint8_t> lengthClass;
 };
 
-/// One family of the experiment.
+/// A kind of move that the experiment simulates.
 ///
-/// Modelled: Poisson arrivals on several entry VMs, two routes, three length classes, upstreams whose first token and pace slow down with
-/// the slots in use, a cold start of the new version, late and lost reports, late decisions.
+/// Modelled: Poisson arrivals on several entry VMs, two routes, three length classes, upstreams that slow down with the
+/// slots in use, a cold cache of the new version, delayed and lost reports, delayed decisions.
 /// Not modelled: batching in detail, prefix caches, priorities, the order of queues.
 struct MoveScenario
 {
     std::string name;
     bool good = false;
-    /// The move can't be finished for want of traffic or time: taken back, and not counted as good or bad.
+    /// The move lacks the traffic or time for a verdict: it is rolled back and counted neither as good nor as bad.
     bool undecidable = false;
-    bool slows = false;
+    bool slowsDown = false;
     MoveFault fault;
     double requestsPerSecond = 100;
     Duration window = std::chrono::seconds(600);
-    /// The whole fleet slows down by this factor at this part of the window.
-    double fleetSlowness = 1;
-    double fleetSlowAfter = 0.5;
+    /// Slowdown factor of the whole fleet, and the point of the window (0 to 1) from which it applies.
+    double fleetSlowdown = 1;
+    double fleetSlowdownStart = 0.5;
 };
 
-struct MoveRun
+struct MoveResult
 {
     bool done = false;
     bool inTime = false;
-    bool takenBack = false;
+    bool rolledBack = false;
     std::string reason;
-    /// When the move ended, since its start.
+    /// Time from the start of the move to its end.
     Duration endedAfter{};
-    /// Requests that the new version got after its fault began, over all requests of the window.
+    /// Requests dispatched to the new version after its fault began, as a ratio of all requests of the window.
     double badShare = 0;
-    /// From the end of the first bad answer to the last request that the new version got.
+    /// Time from the first token or failure of the first bad answer to the last request dispatched to the new version.
     double badSeconds = 0;
-    /// The share before the first evidence.
+    /// Share of the new version after the first decision, in permille.
     std::uint32_t firstShare = 0;
 };
 
 const std::vector<MoveScenario> &moveScenarios();
 
-/// The family of this name, or null.
-const MoveScenario *moveScenario(const std::string &name);
+/// Returns the scenario of this name, or null.
+const MoveScenario *findMoveScenario(const std::string &name);
 
-MoveRun runMove(const MoveScenario &scenario, std::uint64_t seed);
+MoveResult runMove(const MoveScenario &scenario, std::uint64_t seed);
 
 }
--- a/src/bench/movereport.cpp
+++ b/src/bench/movereport.cpp
@@ -12,37 +12,37 @@
 namespace
 {
 
-constexpr unsigned MostThreads = 6;
+constexpr unsigned MaxThreads = 6;
 
-void add(MoveSummary &summary, const MoveScenario &scenario, const MoveRun &run)
+void addRun(MoveSummary &summary, const MoveScenario &scenario, const MoveResult &run)
 {
     ++summary.runs;
-    summary.firstShareMax = std::max(summary.firstShareMax, run.firstShare);
+    summary.maxFirstShare = std::max(summary.maxFirstShare, run.firstShare);
     if (scenario.undecidable) {
-        summary.movesTakenBack += run.takenBack ? 1 : 0;
+        summary.movesRolledBack += run.rolledBack ? 1 : 0;
         return;
     }
     if (scenario.good) {
-        ++summary.movesGood;
-        summary.movesGoodInTime += run.inTime ? 1 : 0;
-        summary.goodTakenBack += run.takenBack ? 1 : 0;
+        ++summary.goodMoves;
+        summary.goodMovesInTime += run.inTime ? 1 : 0;
+        summary.goodMovesRolledBack += run.rolledBack ? 1 : 0;
         return;
     }
-    ++summary.movesBad;
-    summary.movesTakenBack += run.takenBack ? 1 : 0;
-    summary.badShareMax = std::max(summary.badShareMax, run.badShare);
-    double &slowest = scenario.slows ? summary.badSecondsMaxSlow : summary.badSecondsMaxFail;
-    slowest = std::max(slowest, run.badSeconds);
+    ++summary.badMoves;
+    summary.movesRolledBack += run.rolledBack ? 1 : 0;
+    summary.maxBadShare = std::max(summary.maxBadShare, run.badShare);
+    double &maxBadSeconds = scenario.slowsDown ? summary.maxBadSecondsSlow : summary.maxBadSecondsFailing;
+    maxBadSeconds = std::max(maxBadSeconds, run.badSeconds);
 }
 
 }
 
 MoveSummary runMoves(const MoveScenario &scenario, std::uint64_t first, std::uint64_t last)
 {
-    std::vector<MoveRun> runs(last - first + 1);
+    std::vector<MoveResult> runs(last - first + 1);
     std::atomic<std::uint64_t> next{0};
     std::vector<std::jthread> threads;
-    for (unsigned i = 0; i < std::clamp(std::thread::hardware_concurrency(), 1U, MostThreads); ++i) {
+    for (unsigned i = 0; i < std::clamp(std::thread::hardware_concurrency(), 1U, MaxThreads); ++i) {
         threads.emplace_back([&] {
             for (std::uint64_t index = next++; index < runs.size(); index = next++) {
                 runs[index] = runMove(scenario, first + index);
@@ -52,12 +52,12 @@
     threads.clear();
     MoveSummary summary;
     std::vector<double> badSeconds;
-    for (const MoveRun &run : runs) {
-        add(summary, scenario, run);
+    for (const MoveResult &run : runs) {
+        addRun(summary, scenario, run);
         badSeconds.push_back(run.badSeconds);
     }
     std::ranges::sort(badSeconds);
-    summary.badSecondsMedian = badSeconds[badSeconds.size() / 2];
+    summary.medianBadSeconds = badSeconds[badSeconds.size() / 2];
     return summary;
 }
 
@@ -68,16 +68,16 @@
         {"seeds", summary.runs},
         {"policies",
          {{"cumindyke",
-           {{"moves_good", summary.movesGood},
-            {"moves_good_in_time", summary.movesGoodInTime},
-            {"moves_good_taken_back", summary.goodTakenBack},
-            {"moves_bad", summary.movesBad},
-            {"moves_taken_back", summary.movesTakenBack},
-            {"bad_share_max", summary.badShareMax},
-            {"bad_seconds_max_fail", summary.badSecondsMaxFail},
-            {"bad_seconds_max_slow", summary.badSecondsMaxSlow},
-            {"bad_seconds_median", summary.badSecondsMedian},
-            {"first_share_permille_max", summary.firstShareMax}}}}},
+           {{"moves_good", summary.goodMoves},
+            {"moves_good_in_time", summary.goodMovesInTime},
+            {"moves_good_taken_back", summary.goodMovesRolledBack},
+            {"moves_bad", summary.badMoves},
+            {"moves_taken_back", summary.movesRolledBack},
+            {"bad_share_max", summary.maxBadShare},
+            {"bad_seconds_max_fail", summary.maxBadSecondsFailing},
+            {"bad_seconds_max_slow", summary.maxBadSecondsSlow},
+            {"bad_seconds_median", summary.medianBadSeconds},
+            {"first_share_permille_max", summary.maxFirstShare}}}}},
     };
     return json.dump();
 }
--- a/src/bench/movereport.h
+++ b/src/bench/movereport.h
@@ -7,26 +7,26 @@
 namespace cumindyke
 {
 
-/// The runs of one scenario, in the keys of the experiment tool.
+/// Results of the runs of one scenario.
 struct MoveSummary
 {
     std::uint64_t runs = 0;
-    std::uint64_t movesGood = 0;
-    std::uint64_t movesGoodInTime = 0;
-    std::uint64_t goodTakenBack = 0;
-    std::uint64_t movesBad = 0;
-    std::uint64_t movesTakenBack = 0;
-    double badShareMax = 0;
-    double badSecondsMaxFail = 0;
-    double badSecondsMaxSlow = 0;
-    double badSecondsMedian = 0;
-    std::uint32_t firstShareMax = 0;
+    std::uint64_t goodMoves = 0;
+    std::uint64_t goodMovesInTime = 0;
+    std::uint64_t goodMovesRolledBack = 0;
+    std::uint64_t badMoves = 0;
+    std::uint64_t movesRolledBack = 0;
+    double maxBadShare = 0;
+    double maxBadSecondsFailing = 0;
+    double maxBadSecondsSlow = 0;
+    double medianBadSeconds = 0;
+    std::uint32_t maxFirstShare = 0;
 };
 
-/// Runs the seeds first to last on several threads; the result does not depend on how many.
+/// Runs the seeds first to last on several threads; the result does not depend on the number of threads.
 MoveSummary runMoves(const MoveScenario &scenario, std::uint64_t first, std::uint64_t last);
 
-/// One JSON object.
+/// Returns the results as one JSON object.
 std::string toJson(const MoveScenario &scenario, const MoveSummary &summary);
 
 }
--- a/src/bench/placementload.cpp
+++ b/src/bench/placementload.cpp
@@ -18,12 +18,13 @@
 constexpr std::int64_t MaxTokens = 1'000'000'000;
 constexpr double MicrosecondsPerSecond = 1e6;
 constexpr double MicrosecondsPerMillisecond = 1e3;
-/// A request is worth a fixed part and a part by its size, up to so many times the mean size. A token made weighs as much as ten read.
-constexpr double FixedWorth = 0.3;
-constexpr double MostSize = 4;
-constexpr double ReadTokensPerMadeToken = 10;
-/// Quantiles of what a caller says of its answer's length, against the truth.
-const std::vector<double> HintErrors{0.3, 0.6, 0.8, 1, 1.25, 1.6, 3};
+/// The worth of a request is a fixed share plus a share in proportion to its size, limited to a multiple of the mean worth. In the size
+/// an answer token counts as much as ten prompt tokens.
+constexpr double FixedWorthRatio = 0.3;
+constexpr double MaxRelativeSize = 4;
+constexpr double PromptTokensPerAnswerToken = 10;
+/// Quantiles of the answer length that a caller states, as a factor of the true length.
+const std::vector<double> LengthHintFactors{0.3, 0.6, 0.8, 1, 1.25, 1.6, 3};
 
 Duration seconds(TomlTable &table, std::string_view key, double fallback)
 {
@@ -47,12 +48,12 @@
 
 std::vector<double> quantiles(TomlTable &table, std::string_view key)
 {
-    std::vector<double> found = table.numbers(key);
-    if (found.size() < 2 || !std::ranges::is_sorted(found) || found.front() < 1) {
-        table.reject(key, "write two or more rising numbers of tokens from 1 on: the least, equally spaced quantiles, the greatest");
+    std::vector<double> values = table.numbers(key);
+    if (values.size() < 2 || !std::ranges::is_sorted(values) || values.front() < 1) {
+        table.reject(key, "write two or more ascending numbers of tokens from 1 on: the minimum, equally spaced quantiles, the maximum");
         return {1, 1};
     }
-    return found;
+    return values;
 }
 
 LoadRoute parseRoute(TomlTable table)
@@ -63,7 +64,7 @@
         .rate = table.number("rate", 1, 0, MaxRate),
         .objective = milliseconds(table, "objective_ms", 500),
         .deadline = milliseconds(table, "deadline_ms", 10'000),
-        .longestPause = milliseconds(table, "longest_pause_ms", 0),
+        .maxPause = milliseconds(table, "longest_pause_ms", 0),
         .worth = table.number("worth", 1, 0, MaxRate),
         .lateWorth = table.number("late_worth", 0.3, 0, MaxRate),
         .prompt = quantiles(table, "prompt"),
@@ -110,9 +111,9 @@
     };
 }
 
-LoadLoss parseLoss(TomlTable table)
+LoadEngineFailure parseEngineFailure(TomlTable table)
 {
-    return LoadLoss{.engine = table.requiredText("engine"), .at = seconds(table, "at_s", 0), .until = seconds(table, "until_s", MaxSeconds)};
+    return LoadEngineFailure{.engine = table.requiredText("engine"), .at = seconds(table, "at_s", 0), .until = seconds(table, "until_s", MaxSeconds)};
 }
 
 PlacementLoad parseLoad(TomlTable &root)
@@ -139,7 +140,7 @@
         load.surges.push_back(parseSurge(table));
     }
     for (const TomlTable &table : root.tables("loss")) {
-        load.losses.push_back(parseLoss(table));
+        load.engineFailures.push_back(parseEngineFailure(table));
     }
     return load;
 }
@@ -153,19 +154,19 @@
     return sum / static_cast<double>(quantiles.size() - 1);
 }
 
-double factorAt(const PlacementLoad &load, const LoadRoute &route, const LoadOrganisation &organisation, Duration at)
+double rateFactorAt(const PlacementLoad &load, const LoadRoute &route, const LoadOrganisation &organisation, Duration at)
 {
     double factor = load.load;
     for (const LoadSurge &surge : load.surges) {
-        const bool concerned
+        const bool applies
             = (surge.route.empty() || surge.route == route.name) && (surge.organisation.empty() || surge.organisation == organisation.name.value);
-        factor *= concerned && at >= surge.at && at < surge.until ? surge.factor : 1;
+        factor *= applies && at >= surge.at && at < surge.until ? surge.factor : 1;
     }
     return factor;
 }
 
-/// The greatest factor that any moment may have.
-double mostFactor(const PlacementLoad &load)
+/// Returns an upper bound of rateFactorAt() over all times.
+double maxRateFactor(const PlacementLoad &load)
 {
     double factor = load.load;
     for (const LoadSurge &surge : load.surges) {
@@ -176,32 +177,32 @@
 
 LoadRequest makeRequest(const PlacementLoad &load, const LoadRoute &route, const LoadOrganisation &organisation, Random &random, TimePoint arrival)
 {
-    LoadRequest request{.route = &route, .organisation = &organisation, .vm = random.below(load.entryVms), .arrival = arrival};
+    LoadRequest request{.route = &route, .organisation = &organisation, .vm = random.uniformInteger(load.entryVms), .arrival = arrival};
     request.prompt = static_cast<std::uint32_t>(random.fromQuantiles(route.prompt));
     request.answer = static_cast<std::uint32_t>(random.fromQuantiles(route.answer));
-    request.expectedAnswer = std::max(1U, static_cast<std::uint32_t>(request.answer * random.fromQuantiles(HintErrors)));
-    const double size = request.prompt + ReadTokensPerMadeToken * request.answer;
-    const double meanSize = meanOf(route.prompt) + ReadTokensPerMadeToken * meanOf(route.answer);
-    request.worth = route.worth * std::min(FixedWorth + (1 - FixedWorth) * size / meanSize, MostSize);
+    request.expectedAnswer = std::max(1U, static_cast<std::uint32_t>(request.answer * random.fromQuantiles(LengthHintFactors)));
+    const double size = request.prompt + PromptTokensPerAnswerToken * request.answer;
+    const double meanSize = meanOf(route.prompt) + PromptTokensPerAnswerToken * meanOf(route.answer);
+    request.worth = route.worth * std::min(FixedWorthRatio + (1 - FixedWorthRatio) * size / meanSize, MaxRelativeSize);
     return request;
 }
 
-/// Arrivals of one route by one organisation: drawn at the greatest rate, and thinned to the rate of their moment.
+/// Generates the arrivals of one route and organisation as a Poisson process at the maximum rate, thinned to the rate of the moment.
 void addArrivals(std::vector<LoadRequest> &requests, const PlacementLoad &load, const LoadRoute &route, const LoadOrganisation &organisation, Random &random)
 {
     double shares = 0;
     for (const LoadOrganisation &other : load.organisations) {
         shares += other.share;
     }
-    const double most = mostFactor(load);
-    const double gap = MicrosecondsPerSecond / (route.rate * organisation.share / shares * most);
+    const double maxFactor = maxRateFactor(load);
+    const double meanGap = MicrosecondsPerSecond / (route.rate * organisation.share / shares * maxFactor);
     TimePoint at{};
     for (;;) {
-        at += Duration(1 + static_cast<Duration::rep>(random.exponential() * gap));
+        at += Duration(1 + static_cast<Duration::rep>(random.exponential() * meanGap));
         if (at.time_since_epoch() >= load.duration) {
             return;
         }
-        if (random.uniform() * most < factorAt(load, route, organisation, at.time_since_epoch())) {
+        if (random.uniform() * maxFactor < rateFactorAt(load, route, organisation, at.time_since_epoch())) {
             requests.push_back(makeRequest(load, route, organisation, random, at));
         }
     }
@@ -236,7 +237,7 @@
     std::uint64_t stream = seed * 1000;
     for (const LoadRoute &route : load.routes) {
         for (const LoadOrganisation &organisation : load.organisations) {
-            // A generator for each stream: changing one stream's rate leaves the others as they are.
+            // Each stream has its own generator, so that changing the rate of one does not change the others.
             Random random(++stream);
             addArrivals(requests, load, route, organisation, random);
         }
--- a/src/bench/placementload.h
+++ b/src/bench/placementload.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-/// A load on the placement of routed requests: routes, organisations, engines and what goes wrong. docs/SCENARIOS.md describes the TOML form.
+/// A load on the placement of routed requests: routes, organisations, engines, surges and failures. docs/SCENARIOS.md describes the TOML form.
 namespace cumindyke
 {
 
@@ -17,16 +17,16 @@
 {
     std::string name;
     std::uint32_t priority = 0;
-    /// Requests a second at load 1, Poisson.
+    /// Mean requests per second at load 1 (Poisson arrivals).
     double rate = 1;
     Duration objective{};
     Duration deadline{};
-    /// Longest pause between events of an answer on time.
-    Duration longestPause{};
-    /// What a mean request is worth on time, and late.
+    /// Maximum pause between events of an answer for it to be on time; 0: no limit.
+    Duration maxPause{};
+    /// Worth of a request of mean size when answered on time and when answered late.
     double worth = 1;
     double lateWorth = 0.3;
-    /// Equally spaced quantiles of the lengths in tokens.
+    /// Equally spaced quantiles of the lengths of prompts and answers in tokens.
     std::vector<double> prompt;
     std::vector<double> answer;
 };
@@ -35,36 +35,36 @@
 {
     OrganisationName name;
     std::uint32_t priority = 0;
-    /// Its part of the arrivals.
+    /// Its share of the arrivals, relative to the sum of all shares.
     double share = 1;
-    /// Tokens a second, and at once; 0: no limit.
+    /// Limits in tokens per second and tokens per burst; 0: no limit.
     std::uint64_t rateLimit = 0;
     std::uint64_t burstLimit = 0;
 };
 
-/// Equal engines, spread in turn over the data centres.
+/// Equal engines, assigned to the data centres in turn.
 struct LoadEngines
 {
     std::string prefix;
     std::uint32_t count = 1;
-    /// 1 is the normal speed, 2 is twice as slow.
+    /// Factor on the duration of steps: 1 is the normal speed, 2 is twice as slow.
     double slowness = 1;
     EngineSpeed speed;
 };
 
-/// For a while more is asked for: by everybody, on one route, or by one organisation.
+/// Multiplies the rate of arrivals for a while, for all requests, one route or one organisation.
 struct LoadSurge
 {
     Duration at{};
     Duration until{};
     double factor = 1;
-    /// Empty: all.
+    /// All routes or organisations if empty.
     std::string route;
     std::string organisation;
 };
 
-/// An engine dies; what it runs is lost.
-struct LoadLoss
+/// An engine dies: its running requests fail.
+struct LoadEngineFailure
 {
     std::string engine;
     Duration at{};
@@ -80,19 +80,19 @@
     Duration oneWay = std::chrono::microseconds(900);
     Duration duration = std::chrono::seconds(30);
     double load = 1;
-    /// Tokens of one event of a stream.
+    /// Tokens per event of a streamed answer.
     std::uint32_t tokensPerEvent = 1;
     std::vector<LoadRoute> routes;
     std::vector<LoadOrganisation> organisations;
     std::vector<LoadEngines> engines;
     std::vector<LoadSurge> surges;
-    std::vector<LoadLoss> losses;
+    std::vector<LoadEngineFailure> engineFailures;
 };
 
-/// Reads a load. Errors name file, line, key and remedy.
+/// Reads a load from a TOML file. Errors name file, line, key and remedy.
 Result<PlacementLoad> readPlacementLoad(const std::string &fileName);
 
-/// A caller's request of a load.
+/// A request of a load.
 struct LoadRequest
 {
     std::uint32_t index = 0;
@@ -102,13 +102,13 @@
     TimePoint arrival;
     std::uint32_t prompt = 0;
     std::uint32_t answer = 0;
-    /// What the caller says of the answer's length: right at the median.
+    /// Length of the answer that the caller states; its median error factor is 1.
     std::uint32_t expectedAnswer = 0;
-    /// On time; late it is worth "lateWorth" / "worth" of that.
+    /// Worth if answered on time; a late answer is worth lateWorth / worth of it.
     double worth = 0;
 };
 
-/// All requests of a load in order of arrival. The same seed gives the same requests on every machine.
+/// Generates the requests of a load in order of arrival. The same seed gives the same requests on every machine.
 std::vector<LoadRequest> makeLoadRequests(const PlacementLoad &load, std::uint64_t seed);
 
 }
--- a/src/bench/placementreport.cpp
+++ b/src/bench/placementreport.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-/// For a share of nothing.
-constexpr double Least = 1e-9;
+/// Avoids a division by zero.
+constexpr double MinDivisor = 1e-9;
 
 double meanOf(const std::vector<double> &values)
 {
@@ -25,7 +25,7 @@
     return sum / static_cast<double>(std::max<std::size_t>(values.size(), 1));
 }
 
-double spreadOf(const std::vector<double> &values)
+double standardDeviation(const std::vector<double> &values)
 {
     const double mean = meanOf(values);
     std::vector<double> squares;
@@ -41,7 +41,7 @@
     for (const std::uint32_t count : {sum.onTime, sum.late, sum.paused, sum.refused, sum.refusedAgain, sum.overLimit, sum.failed}) {
         out << "\t" << static_cast<double>(count) / std::max(1U, sum.requests);
     }
-    out << "\t" << sum.earned / std::max(sum.owed, Least) << "\n";
+    out << "\t" << sum.earnedWorth / std::max(sum.possibleWorth, MinDivisor) << "\n";
 }
 
 }
@@ -56,8 +56,8 @@
     refusedAgain += other.refusedAgain;
     overLimit += other.overLimit;
     failed += other.failed;
-    owed += other.owed;
-    earned += other.earned;
+    possibleWorth += other.possibleWorth;
+    earnedWorth += other.earnedWorth;
     refusedAgainWorth += other.refusedAgainWorth;
 }
 
@@ -67,16 +67,16 @@
     for (const auto &[name, route] : routes) {
         all.add(route);
     }
-    return all.earned / std::max(all.owed, Least);
+    return all.earnedWorth / std::max(all.possibleWorth, MinDivisor);
 }
 
-void printPlacement(std::ostream &out, const PlacementLoad &load, std::uint64_t firstSeed, std::uint64_t lastSeed)
+void printPlacementReport(std::ostream &out, const PlacementLoad &load, std::uint64_t firstSeed, std::uint64_t lastSeed)
 {
     std::map<std::string, RouteOutcome> sums;
     RouteOutcome all;
     std::vector<double> shares;
     for (std::uint64_t seed = firstSeed; seed <= lastSeed; ++seed) {
-        const PlacementOutcome outcome = playPlacement(load, seed);
+        const PlacementOutcome outcome = simulatePlacement(load, seed);
         shares.push_back(outcome.earnedShare());
         for (const auto &[name, route] : outcome.routes) {
             sums[name].add(route);
@@ -88,8 +88,8 @@
     for (const auto &[name, sum] : sums) {
         printRoute(out, name, sum);
     }
-    out << "\tearned\t" << meanOf(shares) << "\tspread\t" << spreadOf(shares) << "\tseeds\t" << shares.size() << "\trefused again\t"
-        << all.refusedAgainWorth / std::max(all.owed, Least) << "\n";
+    out << "\tearned\t" << meanOf(shares) << "\tspread\t" << standardDeviation(shares) << "\tseeds\t" << shares.size() << "\trefused again\t"
+        << all.refusedAgainWorth / std::max(all.possibleWorth, MinDivisor) << "\n";
 }
 
 }
--- a/src/bench/placementreport.h
+++ b/src/bench/placementreport.h
@@ -10,39 +10,40 @@
 namespace cumindyke
 {
 
-/// How the requests of one route ended.
+/// Results of the requests of one route.
 struct RouteOutcome
 {
     std::uint32_t requests = 0;
     std::uint32_t onTime = 0;
-    /// Whole, but the first event or one after a pause came too late.
+    /// Completed by the deadline, but with the first event too late or too long a pause.
     std::uint32_t late = 0;
-    /// Of these, those whose first event was in time.
+    /// Late requests whose first event was in time.
     std::uint32_t paused = 0;
     std::uint32_t refused = 0;
-    /// Of these, refused a second time.
+    /// Refused requests that were refused twice.
     std::uint32_t refusedAgain = 0;
     std::uint32_t overLimit = 0;
-    /// Broken off by a lost engine, or past the deadline.
+    /// Failed with their engine, or completed after the deadline.
     std::uint32_t failed = 0;
-    double owed = 0;
-    double earned = 0;
-    /// Of requests that were refused a second time.
+    double possibleWorth = 0;
+    double earnedWorth = 0;
+    /// Worth of the requests that were refused twice.
     double refusedAgainWorth = 0;
 
     void add(const RouteOutcome &other);
 };
 
-/// What a load earned with one seed.
+/// Results of a load with one seed.
 struct PlacementOutcome
 {
     std::map<std::string, RouteOutcome> routes;
     std::uint32_t dispatchedTwice = 0;
 
+    /// Returns the earned worth as a ratio of the possible worth over all routes.
     double earnedShare() const;
 };
 
-/// Plays the seeds and prints means over them, a line a route, and the share earned with its spread.
-void printPlacement(std::ostream &out, const PlacementLoad &load, std::uint64_t firstSeed, std::uint64_t lastSeed);
+/// Simulates the seeds and prints the means per route, and the mean and standard deviation of the earned share.
+void printPlacementReport(std::ostream &out, const PlacementLoad &load, std::uint64_t firstSeed, std::uint64_t lastSeed);
 
 }
--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -16,23 +16,23 @@
 namespace
 {
 
-/// As in the daemon (src/proxy/placementhost.cpp): how long changes are gathered, and how often servers decide and tell each other.
+/// As in the daemon (src/proxy/placementhost.cpp): delays that batch state changes, and intervals of decisions and load notices.
 constexpr Duration StateDelay = std::chrono::milliseconds(1);
 constexpr Duration StateDelayPerWaiting = std::chrono::microseconds(200);
-constexpr Duration AdvanceInterval = std::chrono::milliseconds(2);
+constexpr Duration MinAdvanceInterval = std::chrono::milliseconds(2);
 constexpr Duration AdvanceIntervalPerWaiting = std::chrono::microseconds(100);
 constexpr Duration NoticeInterval = std::chrono::milliseconds(30);
 constexpr Duration TickInterval = std::chrono::milliseconds(25);
 constexpr Duration ListInterval = std::chrono::seconds(1);
-/// Between VMs of one data centre, and to an engine.
+/// Network delay between VMs of one data centre, and to an engine.
 constexpr Duration LocalDelay = std::chrono::microseconds(300);
-/// Callers follow Retry-After up to this part of the time they have left, and come back once.
-constexpr int LongestReturnPart = 3;
-constexpr std::uint32_t MostTries = 2;
-/// Ranks of organisations are this far apart, as in src/proxy/ordermaker.cpp.
-constexpr std::uint32_t RoutePriorities = 1'000;
+/// Callers retry once, after Retry-After or this fraction (1/3) of their remaining time, whichever is shorter.
+constexpr int RetryTimeDivisor = 3;
+constexpr std::uint32_t MaxAttempts = 2;
+/// As in src/proxy/requestparser.cpp.
+constexpr std::uint32_t RanksPerOrganisation = 1'000;
 /// As in src/proxy/proxyanswers.cpp.
-constexpr std::uint32_t EventsToTellPace = 4;
+constexpr std::uint32_t EventsForPace = 4;
 constexpr std::uint64_t Incarnation = 1;
 const ServiceName Service{"engines"};
 
@@ -41,15 +41,15 @@
     UpstreamInstance instance;
     EngineModel model;
     bool alive = true;
-    std::optional<TimePoint> scheduled;
+    std::optional<TimePoint> scheduledStepAt;
 };
 
-/// One request from its first arrival to its end.
+/// State of one request from its first arrival to its end.
 struct Run
 {
     LoadRequest request;
-    std::uint32_t tries = 0;
-    PlacementId place{};
+    std::uint32_t attempts = 0;
+    PlacementId placementId{};
     std::optional<std::size_t> engine;
     TimePoint sentAt;
     TimePoint firstEventAt{};
@@ -60,7 +60,7 @@
     bool ended = false;
 };
 
-AnswerPace paceOf(const Run &run)
+AnswerPace measuredPace(const Run &run)
 {
     if (run.events < 2) {
         return {};
@@ -69,11 +69,11 @@
                       .longestPauseMs = static_cast<std::uint32_t>(wholeMilliseconds(run.longestPause))};
 }
 
-class Rig
+class PlacementSimulation
 {
 public:
-    Rig(const PlacementLoad &load, std::uint64_t seed);
-    PlacementOutcome play();
+    PlacementSimulation(const PlacementLoad &load, std::uint64_t seed);
+    PlacementOutcome simulate();
 
 private:
     struct Vm
@@ -83,45 +83,45 @@
         std::unique_ptr<PlacementClient> client;
         std::unique_ptr<PlacementServer> server;
         std::map<PlacementId, std::uint32_t> runs;
-        bool stateDue = false;
-        bool advanceDue = false;
-        TimePoint advanced{};
-        std::uint64_t notices = 0;
+        bool stateScheduled = false;
+        bool advanceScheduled = false;
+        TimePoint lastAdvancedAt{};
+        std::uint64_t noticeSequence = 0;
     };
     struct Event
     {
         TimePoint when;
-        std::uint64_t number;
-        std::function<void()> run;
+        std::uint64_t sequence;
+        std::function<void()> callback;
 
         bool operator<(const Event &other) const
         {
-            return std::tie(other.when, other.number) < std::tie(when, number);
+            return std::tie(other.when, other.sequence) < std::tie(when, sequence);
         }
     };
 
     void makeVms();
     void makeEngines();
-    void makeLosses();
-    void at(TimePoint when, std::function<void()> run);
+    void scheduleEngineFailures();
+    void schedule(TimePoint when, std::function<void()> callback);
     void tick();
-    void readList();
-    void notify(Vm &from);
+    void updateLists();
+    void sendNotice(Vm &from);
     Vm &serverOf(Vm &vm);
 
     void arrive(std::uint32_t index);
-    void stateChanged(Vm &vm);
+    void scheduleState(Vm &vm);
     void sendState(Vm &vm);
-    void advanceSoon(Vm &vm);
+    void scheduleAdvance(Vm &vm);
     void advance(Vm &vm);
     void handleReply(Vm &vm, const VmName &from, const v1::PlacementReply &reply);
-    void send(Run &run, const PlacementGranted &granted);
-    void refused(Run &run, const PlacementRefused &refusal);
+    void dispatch(Run &run, const PlacementGranted &granted);
+    void handleRefusal(Run &run, const PlacementRefused &refusal);
     std::uint32_t nextVm(std::uint32_t vm) const;
-    void schedule(std::size_t engine);
-    void step(std::size_t engine);
-    void takeEvent(const EngineEvent &event);
-    void lose(std::size_t engine);
+    void scheduleEngineStep(std::size_t engine);
+    void advanceEngine(std::size_t engine);
+    void handleEngineEvent(const EngineEvent &event);
+    void failEngine(std::size_t engine);
     void finish(Run &run, v1::PlacementOutcome outcome);
     Vm &vmOf(const Run &run)
     {
@@ -133,24 +133,24 @@
     std::vector<Vm> m_vms;
     std::vector<Engine> m_engines;
     std::priority_queue<Event> m_events;
-    std::uint64_t m_eventCount = 0;
+    std::uint64_t m_eventSequence = 0;
     TimePoint m_now{};
-    std::size_t m_ended = 0;
+    std::size_t m_endedCount = 0;
     PlacementOutcome m_outcome;
 };
 
-Rig::Rig(const PlacementLoad &load, std::uint64_t seed)
+PlacementSimulation::PlacementSimulation(const PlacementLoad &load, std::uint64_t seed)
     : m_load(load)
 {
     for (const LoadRequest &request : makeLoadRequests(m_load, seed)) {
         m_runs.push_back(Run{.request = request});
         RouteOutcome &route = m_outcome.routes[request.route->name];
         ++route.requests;
-        route.owed += request.worth;
+        route.possibleWorth += request.worth;
     }
     makeVms();
     makeEngines();
-    makeLosses();
+    scheduleEngineFailures();
 }
 
 DataCentreName dataCentre(std::uint32_t number)
@@ -158,7 +158,7 @@
     return DataCentreName{"dc-" + std::to_string(number)};
 }
 
-void Rig::makeVms()
+void PlacementSimulation::makeVms()
 {
     v1::FleetTally fleet;
     v1::RouteTable routes;
@@ -186,7 +186,7 @@
     }
 }
 
-void Rig::makeEngines()
+void PlacementSimulation::makeEngines()
 {
     std::uint32_t number = 0;
     for (const LoadEngines &group : m_load.engines) {
@@ -204,48 +204,48 @@
                         .slots = group.speed.maxBatch,
                     },
                 .model = std::move(model),
-                .scheduled = {},
+                .scheduledStepAt = {},
             });
         }
     }
 }
 
-void Rig::makeLosses()
+void PlacementSimulation::scheduleEngineFailures()
 {
-    for (const LoadLoss &loss : m_load.losses) {
+    for (const LoadEngineFailure &failure : m_load.engineFailures) {
         for (std::size_t i = 0; i < m_engines.size(); ++i) {
-            if (m_engines[i].instance.name.value != loss.engine) {
+            if (m_engines[i].instance.name.value != failure.engine) {
                 continue;
             }
-            at(TimePoint(loss.at), [this, i] { lose(i); });
-            at(TimePoint(loss.until), [this, i] { m_engines[i].alive = true; });
+            schedule(TimePoint(failure.at), [this, i] { failEngine(i); });
+            schedule(TimePoint(failure.until), [this, i] { m_engines[i].alive = true; });
         }
     }
 }
 
-void Rig::at(TimePoint when, std::function<void()> run)
+void PlacementSimulation::schedule(TimePoint when, std::function<void()> callback)
 {
-    m_events.push(Event{.when = std::max(when, m_now), .number = m_eventCount++, .run = std::move(run)});
+    m_events.push(Event{.when = std::max(when, m_now), .sequence = m_eventSequence++, .callback = std::move(callback)});
 }
 
-PlacementOutcome Rig::play()
+PlacementOutcome PlacementSimulation::simulate()
 {
-    readList();
+    updateLists();
     tick();
     for (const Run &run : m_runs) {
-        at(run.request.arrival, [this, index = run.request.index] { arrive(index); });
+        schedule(run.request.arrival, [this, index = run.request.index] { arrive(index); });
     }
-    while (!m_events.empty() && m_ended < m_runs.size()) {
-        // Moved out before it runs, for it may add others.
+    while (!m_events.empty() && m_endedCount < m_runs.size()) {
+        // The event is moved out before it runs, since it may add others.
         Event event = std::move(const_cast<Event &>(m_events.top()));
         m_events.pop();
         m_now = event.when;
-        event.run();
+        event.callback();
     }
     return m_outcome;
 }
 
-void Rig::readList()
+void PlacementSimulation::updateLists()
 {
     std::vector<UpstreamInstance> list;
     for (const Engine &engine : m_engines) {
@@ -254,123 +254,123 @@
     for (Vm &vm : m_vms) {
         vm.server->setList(list, m_now);
     }
-    at(m_now + ListInterval, [this] { readList(); });
+    schedule(m_now + ListInterval, [this] { updateLists(); });
 }
 
-void Rig::tick()
+void PlacementSimulation::tick()
 {
     for (Vm &vm : m_vms) {
         vm.server->expireTimedOut(m_now);
-        stateChanged(vm);
+        scheduleState(vm);
         if (vm.server->hasRequests()) {
-            advanceSoon(vm);
+            scheduleAdvance(vm);
         }
     }
-    at(m_now + TickInterval, [this] { tick(); });
+    schedule(m_now + TickInterval, [this] { tick(); });
 }
 
-Rig::Vm &Rig::serverOf(Vm &vm)
+PlacementSimulation::Vm &PlacementSimulation::serverOf(Vm &vm)
 {
     const VmName &server = vm.client->server(m_now);
     return *std::ranges::find(m_vms, server, &Vm::name);
 }
 
-void Rig::arrive(std::uint32_t index)
+void PlacementSimulation::arrive(std::uint32_t index)
 {
     Run &run = m_runs[index];
     const LoadRequest &request = run.request;
     Vm &vm = vmOf(run);
-    ++run.tries;
-    run.place = vm.client->requestPlacement(
+    ++run.attempts;
+    run.placementId = vm.client->requestPlacement(
         SlotRequest{
             .service = Service,
-            .rank = request.organisation->priority * RoutePriorities + request.route->priority,
+            .rank = request.organisation->priority * RanksPerOrganisation + request.route->priority,
             .promptTokens = request.prompt,
             .objectiveAt = request.arrival + request.route->objective,
             .deadline = request.arrival + request.route->deadline,
             .tried = {},
             .organisation = request.organisation->name,
             .cost = request.prompt + request.answer,
-            .maxPauseMs = static_cast<std::uint32_t>(wholeMilliseconds(request.route->longestPause)),
+            .maxPauseMs = static_cast<std::uint32_t>(wholeMilliseconds(request.route->maxPause)),
             .expectedEvents = (request.expectedAnswer + m_load.tokensPerEvent - 1) / m_load.tokensPerEvent,
         },
         m_now);
-    vm.runs[run.place] = index;
-    stateChanged(vm);
+    vm.runs[run.placementId] = index;
+    scheduleState(vm);
 }
 
-void Rig::stateChanged(Vm &vm)
+void PlacementSimulation::scheduleState(Vm &vm)
 {
-    if (std::exchange(vm.stateDue, true)) {
+    if (std::exchange(vm.stateScheduled, true)) {
         return;
     }
-    at(m_now + StateDelay + static_cast<int>(vm.client->waitingCount()) * StateDelayPerWaiting, [this, &vm] { sendState(vm); });
+    schedule(m_now + StateDelay + static_cast<int>(vm.client->waitingCount()) * StateDelayPerWaiting, [this, &vm] { sendState(vm); });
 }
 
-void Rig::sendState(Vm &vm)
+void PlacementSimulation::sendState(Vm &vm)
 {
-    vm.stateDue = false;
+    vm.stateScheduled = false;
     Vm &server = serverOf(vm);
     const Duration delay = &server == &vm ? Duration::zero() : LocalDelay;
-    at(m_now + delay, [this, &vm, &server, state = vm.client->state(m_now)] {
+    schedule(m_now + delay, [this, &vm, &server, state = vm.client->state(m_now)] {
         server.server->handleState(vm.name, state, m_now);
-        advanceSoon(server);
+        scheduleAdvance(server);
     });
 }
 
-void Rig::advanceSoon(Vm &vm)
+void PlacementSimulation::scheduleAdvance(Vm &vm)
 {
-    if (std::exchange(vm.advanceDue, true)) {
+    if (std::exchange(vm.advanceScheduled, true)) {
         return;
     }
-    const Duration interval = AdvanceInterval + static_cast<int>(vm.server->waitingCount()) * AdvanceIntervalPerWaiting;
-    at(std::max(m_now, vm.advanced + interval), [this, &vm] { advance(vm); });
+    const Duration interval = MinAdvanceInterval + static_cast<int>(vm.server->waitingCount()) * AdvanceIntervalPerWaiting;
+    schedule(std::max(m_now, vm.lastAdvancedAt + interval), [this, &vm] { advance(vm); });
 }
 
-void Rig::advance(Vm &vm)
+void PlacementSimulation::advance(Vm &vm)
 {
-    vm.advanceDue = false;
-    vm.advanced = m_now;
+    vm.advanceScheduled = false;
+    vm.lastAdvancedAt = m_now;
     for (auto &[to, reply] : vm.server->advance(m_now)) {
-        Vm &asker = *std::ranges::find(m_vms, to, &Vm::name);
-        const Duration delay = &asker == &vm ? Duration::zero() : LocalDelay;
-        at(m_now + delay, [this, &asker, from = vm.name, reply = std::move(reply)] { handleReply(asker, from, reply); });
+        Vm &requester = *std::ranges::find(m_vms, to, &Vm::name);
+        const Duration delay = &requester == &vm ? Duration::zero() : LocalDelay;
+        schedule(m_now + delay, [this, &requester, from = vm.name, reply = std::move(reply)] { handleReply(requester, from, reply); });
     }
-    if (vm.notices == 0) {
-        notify(vm);
+    if (vm.noticeSequence == 0) {
+        sendNotice(vm);
     }
 }
 
-void Rig::notify(Vm &from)
+void PlacementSimulation::sendNotice(Vm &from)
 {
     v1::LoadNotice notice;
     notice.set_incarnation(Incarnation);
-    notice.set_sequence(++from.notices);
+    notice.set_sequence(++from.noticeSequence);
     from.server->writeNotice(notice, false, m_now);
     for (Vm &other : m_vms) {
         if (other.dataCentre == from.dataCentre || &serverOf(other) != &other) {
             continue;
         }
-        at(m_now + m_load.oneWay, [this, &other, name = from.name, notice] { other.server->handleNotice(name, notice, m_now); });
+        schedule(m_now + m_load.oneWay, [this, &other, name = from.name, notice] { other.server->handleNotice(name, notice, m_now); });
     }
-    at(m_now + NoticeInterval, [this, &from] { notify(from); });
+    schedule(m_now + NoticeInterval, [this, &from] { sendNotice(from); });
 }
 
-void Rig::handleReply(Vm &vm, const VmName &from, const v1::PlacementReply &reply)
+void PlacementSimulation::handleReply(Vm &vm, const VmName &from, const v1::PlacementReply &reply)
 {
     for (const PlacementAnswer &answer : vm.client->handleReply(from, reply, m_now)) {
-        const PlacementId id = std::visit([](const auto &held) { return held.id; }, answer);
+        const PlacementId id = std::visit([](const auto &content) { return content.id; }, answer);
         Run &run = m_runs[vm.runs.at(id)];
         if (const auto *granted = std::get_if<PlacementGranted>(&answer)) {
-            send(run, *granted);
+            dispatch(run, *granted);
         } else {
-            refused(run, std::get<PlacementRefused>(answer));
+            handleRefusal(run, std::get<PlacementRefused>(answer));
         }
     }
-    stateChanged(vm);
+    scheduleState(vm);
 }
 
-void Rig::send(Run &run, const PlacementGranted &granted)
+void PlacementSimulation::dispatch(Run &run, const PlacementGranted &granted)
 {
     const auto found = std::ranges::find(m_engines, granted.upstream.name, [](const Engine &engine) { return engine.instance.name; });
     if (run.engine) {
@@ -385,65 +385,65 @@
         finish(run, v1::PLACEMENT_FAILED);
         return;
     }
-    at(m_now + LocalDelay, [this, &run] {
+    schedule(m_now + LocalDelay, [this, &run] {
         m_engines[*run.engine].model.submit(EngineRequest{.id = RequestId{std::to_string(run.request.index)},
                                                           .prompt = TokenCount{run.request.prompt},
                                                           .sharedPrefix = {},
                                                           .answer = TokenCount{run.request.answer}},
                                             m_now);
-        schedule(*run.engine);
+        scheduleEngineStep(*run.engine);
     });
 }
 
-/// The balancer's choice: another VM of the same data centre each time.
-std::uint32_t Rig::nextVm(std::uint32_t vm) const
+/// Returns the VM that the balancer chooses for a retry: the next VM of the same data centre.
+std::uint32_t PlacementSimulation::nextVm(std::uint32_t vm) const
 {
     const std::uint32_t next = vm + m_load.dataCentres;
     return next < m_load.entryVms ? next : vm % m_load.dataCentres;
 }
 
-void Rig::refused(Run &run, const PlacementRefused &refusal)
+void PlacementSimulation::handleRefusal(Run &run, const PlacementRefused &refusal)
 {
     RouteOutcome &route = m_outcome.routes[run.request.route->name];
     const Duration left = run.request.arrival + run.request.route->deadline - m_now;
-    vmOf(run).client->ended(run.place, v1::PLACEMENT_CANCELLED, {});
-    if (run.tries < MostTries && left > Duration::zero()) {
+    vmOf(run).client->ended(run.placementId, v1::PLACEMENT_CANCELLED, {});
+    if (run.attempts < MaxAttempts && left > Duration::zero()) {
         run.request.vm = nextVm(run.request.vm);
-        at(m_now + std::min(refusal.retryAfter, left / LongestReturnPart), [this, index = run.request.index] { arrive(index); });
+        schedule(m_now + std::min(refusal.retryAfter, left / RetryTimeDivisor), [this, index = run.request.index] { arrive(index); });
         return;
     }
     run.ended = true;
-    ++m_ended;
+    ++m_endedCount;
     if (refusal.overLimit) {
         ++route.overLimit;
-        route.owed -= run.request.worth;
+        route.possibleWorth -= run.request.worth;
     } else {
         ++route.refused;
-        route.refusedAgain += run.tries > 1 ? 1 : 0;
-        route.refusedAgainWorth += run.tries > 1 ? run.request.worth : 0;
+        route.refusedAgain += run.attempts > 1 ? 1 : 0;
+        route.refusedAgainWorth += run.attempts > 1 ? run.request.worth : 0;
     }
 }
 
-void Rig::schedule(std::size_t engine)
+void PlacementSimulation::scheduleEngineStep(std::size_t engine)
 {
     const auto next = m_engines[engine].model.nextEventAt();
-    if (!next || m_engines[engine].scheduled == next) {
+    if (!next || m_engines[engine].scheduledStepAt == next) {
         return;
     }
-    m_engines[engine].scheduled = next;
-    at(*next, [this, engine] { step(engine); });
+    m_engines[engine].scheduledStepAt = next;
+    schedule(*next, [this, engine] { advanceEngine(engine); });
 }
 
-void Rig::step(std::size_t engine)
+void PlacementSimulation::advanceEngine(std::size_t engine)
 {
-    m_engines[engine].scheduled.reset();
+    m_engines[engine].scheduledStepAt.reset();
     for (const EngineEvent &event : m_engines[engine].model.advance(m_now)) {
-        takeEvent(event);
+        handleEngineEvent(event);
     }
-    schedule(engine);
+    scheduleEngineStep(engine);
 }
 
-void Rig::takeEvent(const EngineEvent &event)
+void PlacementSimulation::handleEngineEvent(const EngineEvent &event)
 {
     Run &run = m_runs[std::stoul(event.id.value)];
     if (run.ended) {
@@ -455,16 +455,16 @@
     }
     if (run.events == 0) {
         run.firstEventAt = event.at;
-        vmOf(run).client->recordFirstEvent(run.place, event.at - run.sentAt);
-        stateChanged(vmOf(run));
+        vmOf(run).client->recordFirstEvent(run.placementId, event.at - run.sentAt);
+        scheduleState(vmOf(run));
     } else {
         run.longestPause = std::max(run.longestPause, event.at - run.lastEventAt);
     }
     run.lastEventAt = event.at;
     ++run.events;
-    if (run.events == EventsToTellPace && run.paceWanted) {
-        vmOf(run).client->recordEarlyPace(run.place, paceOf(run).meanMs);
-        stateChanged(vmOf(run));
+    if (run.events == EventsForPace && run.paceWanted) {
+        vmOf(run).client->recordEarlyPace(run.placementId, measuredPace(run).meanMs);
+        scheduleState(vmOf(run));
     }
     if (!finished) {
         return;
@@ -475,42 +475,42 @@
         ++route.failed;
     } else {
         const bool firstInTime = run.firstEventAt <= run.request.arrival + kind.objective;
-        const bool paused = kind.longestPause > Duration::zero() && run.longestPause > kind.longestPause;
+        const bool paused = kind.maxPause > Duration::zero() && run.longestPause > kind.maxPause;
         const bool onTime = firstInTime && !paused;
         ++(onTime ? route.onTime : route.late);
         route.paused += firstInTime && paused ? 1 : 0;
-        route.earned += onTime ? run.request.worth : run.request.worth * kind.lateWorth / kind.worth;
+        route.earnedWorth += onTime ? run.request.worth : run.request.worth * kind.lateWorth / kind.worth;
     }
     finish(run, v1::PLACEMENT_SERVED);
 }
 
-void Rig::lose(std::size_t engine)
+void PlacementSimulation::failEngine(std::size_t engine)
 {
-    Engine &lost = m_engines[engine];
-    lost.alive = false;
+    Engine &failed = m_engines[engine];
+    failed.alive = false;
     for (Run &run : m_runs) {
         if (run.ended || run.engine != engine) {
             continue;
         }
-        lost.model.cancel(RequestId{std::to_string(run.request.index)});
+        failed.model.cancel(RequestId{std::to_string(run.request.index)});
         ++m_outcome.routes[run.request.route->name].failed;
         finish(run, v1::PLACEMENT_FAILED);
     }
 }
 
-void Rig::finish(Run &run, v1::PlacementOutcome outcome)
+void PlacementSimulation::finish(Run &run, v1::PlacementOutcome outcome)
 {
     run.ended = true;
-    ++m_ended;
-    vmOf(run).client->ended(run.place, outcome, paceOf(run));
-    stateChanged(vmOf(run));
+    ++m_endedCount;
+    vmOf(run).client->ended(run.placementId, outcome, measuredPace(run));
+    scheduleState(vmOf(run));
 }
 
 }
 
-PlacementOutcome playPlacement(const PlacementLoad &load, std::uint64_t seed)
+PlacementOutcome simulatePlacement(const PlacementLoad &load, std::uint64_t seed)
 {
-    return Rig(load, seed).play();
+    return PlacementSimulation(load, seed).simulate();
 }
 
 }
--- a/src/bench/placementrig.h
+++ b/src/bench/placementrig.h
@@ -6,8 +6,8 @@
 namespace cumindyke
 {
 
-/// Plays a load on the shipped placement (PlacementClient on each entry VM, PlacementServer where they ask) in virtual time, with fakes at its
-/// edges: callers that come back once after a refusal, messages with their delay, engines (EngineModel). The same seed gives the same outcome.
-PlacementOutcome playPlacement(const PlacementLoad &load, std::uint64_t seed);
+/// Simulates a load on the shipped placement code (a PlacementClient and a PlacementServer on each entry VM) in virtual time, with simulated
+/// callers that retry once after a refusal, message delays and engines (EngineModel). The same seed gives the same outcome.
+PlacementOutcome simulatePlacement(const PlacementLoad &load, std::uint64_t seed);
 
 }
--- a/src/bench/random.h
+++ b/src/bench/random.h
@@ -9,9 +9,9 @@
 namespace cumindyke
 {
 
-/// The experiments' random numbers: std::mt19937_64, which the C++ standard fixes bit for bit, mapped to distributions by the
-/// formulas below. They use only integer arithmetic and IEEE addition, multiplication and division, no library function whose
-/// last bit differs between machines, so that a seed gives the same experiment everywhere.
+/// Random numbers of the experiments: std::mt19937_64, which the C++ standard fixes bit for bit, mapped to distributions by the
+/// formulas below. The formulas use only integer arithmetic and IEEE addition, multiplication and division, and no library function
+/// whose last bit differs between machines, so that a seed gives the same experiment everywhere.
 class Random
 {
 public:
@@ -20,19 +20,19 @@
     {
     }
 
-    /// Uniform in [0, 1): the top 53 bits.
+    /// Uniform in [0, 1), from the top 53 bits.
     double uniform()
     {
         return static_cast<double>(m_engine() >> 11U) * 0x1.0p-53;
     }
 
-    /// Uniform in [0, bound).
-    std::uint32_t below(std::uint32_t bound)
+    /// Uniform integer in [0, bound).
+    std::uint32_t uniformInteger(std::uint32_t bound)
     {
         return static_cast<std::uint32_t>(uniform() * bound);
     }
 
-    /// Exponential with mean 1, by von Neumann's comparisons ("Various techniques used in connection with random digits", 1951).
+    /// Exponential with mean 1, by von Neumann's comparison method ("Various techniques used in connection with random digits", 1951).
     double exponential()
     {
         for (std::uint32_t whole = 0;; ++whole) {
@@ -49,25 +49,25 @@
         }
     }
 
-    /// Linear between equally spaced quantiles: {least, ..., greatest}, two or more.
+    /// Interpolates linearly between two or more equally spaced quantiles, {minimum, ..., maximum}.
     double fromQuantiles(const std::vector<double> &quantiles)
     {
-        const double place = uniform() * static_cast<double>(quantiles.size() - 1);
-        const auto below = static_cast<std::size_t>(place);
-        return quantiles[below] + (place - static_cast<double>(below)) * (quantiles[below + 1] - quantiles[below]);
+        const double position = uniform() * static_cast<double>(quantiles.size() - 1);
+        const auto below = static_cast<std::size_t>(position);
+        return quantiles[below] + (position - static_cast<double>(below)) * (quantiles[below + 1] - quantiles[below]);
     }
 
-    /// An index with a probability in proportion to its weight.
-    std::size_t weighted(const std::vector<double> &weights)
+    /// Random index with a probability proportional to its weight.
+    std::size_t weightedIndex(const std::vector<double> &weights)
     {
         double sum = 0;
         for (const double weight : weights) {
             sum += weight;
         }
-        double left = uniform() * sum;
+        double remaining = uniform() * sum;
         for (std::size_t i = 0; i < weights.size(); ++i) {
-            left -= weights[i];
-            if (left < 0) {
+            remaining -= weights[i];
+            if (remaining < 0) {
                 return i;
             }
         }
--- a/src/bench/report.cpp
+++ b/src/bench/report.cpp
@@ -13,12 +13,12 @@
 
 using Json = nlohmann::ordered_json;
 
-double share(double part, double whole)
+double ratio(double part, double whole)
 {
     return whole > 0 ? part / whole : 0;
 }
 
-Json spreadJson(const std::vector<double> &values)
+Json rangeJson(const std::vector<double> &values)
 {
     if (values.empty()) {
         return Json::object();
@@ -31,9 +31,9 @@
 {
     Json tiers = Json::array();
     for (const auto &[rank, tier] : result.tiers) {
-        const Json spread = spreadJson(result.tierShares.at(rank));
+        const Json spread = rangeJson(result.tierGoodputs.at(rank));
         tiers.push_back(Json{{"tier", rank.value},
-                             {"share", share(static_cast<double>(tier.onTime), static_cast<double>(tier.requests))},
+                             {"share", ratio(static_cast<double>(tier.onTime), static_cast<double>(tier.requests))},
                              {"requests", tier.requests},
                              {"spread", spread}});
     }
@@ -44,9 +44,9 @@
 {
     return Json{
         {"goodput", goodputJson(result)},
-        {"goodput_all", share(result.workOnTime, result.work)},
-        {"goodput_all_spread", spreadJson(result.allShares)},
-        {"wasted_prefill", share(static_cast<double>(result.wastedPrefill), static_cast<double>(result.prefilled))},
+        {"goodput_all", ratio(result.workOnTime, result.work)},
+        {"goodput_all_spread", rangeJson(result.totalGoodputs)},
+        {"wasted_prefill", ratio(static_cast<double>(result.wastedPrefill), static_cast<double>(result.prefilled))},
         {"tier_inversions", result.counters.tierInversions},
         {"dispatched_twice", result.counters.dispatchedTwice},
         {"late", result.late},
@@ -56,13 +56,13 @@
         {"wait_ms_p99", static_cast<double>(result.wait.percentile(0.99).count()) / 1000},
         {"control_messages", result.counters.controlMessages},
         {"control_bytes", result.counters.controlBytes},
-        {"moves_good", result.movesGood},
-        {"moves_good_in_time", result.movesGoodInTime},
-        {"moves_bad", result.movesBad},
-        {"moves_taken_back", result.movesTakenBack},
-        {"bad_share_max", result.badShareMax},
-        {"bad_seconds_max_fail", result.badSecondsMaxFail},
-        {"bad_seconds_max_slow", result.badSecondsMaxSlow},
+        {"moves_good", result.goodMoves},
+        {"moves_good_in_time", result.goodMovesInTime},
+        {"moves_bad", result.badMoves},
+        {"moves_taken_back", result.movesRolledBack},
+        {"bad_share_max", result.maxBadShare},
+        {"bad_seconds_max_fail", result.maxBadSecondsFailing},
+        {"bad_seconds_max_slow", result.maxBadSecondsSlow},
     };
 }
 
@@ -90,18 +90,18 @@
         out << "  " << std::left << std::setw(20) << name << std::right << " on time";
         for (const auto &[rank, tier] : result.tiers) {
             out << "  tier " << static_cast<int>(rank.value) << " " << std::setw(6)
-                << 100 * share(static_cast<double>(tier.onTime), static_cast<double>(tier.requests)) << "%";
+                << 100 * ratio(static_cast<double>(tier.onTime), static_cast<double>(tier.requests)) << "%";
         }
-        out << "  all by work " << std::setw(6) << 100 * share(result.workOnTime, result.work) << "%  wasted prefill " << std::setw(5)
-            << 100 * share(static_cast<double>(result.wastedPrefill), static_cast<double>(result.prefilled)) << "%  inversions "
+        out << "  all by work " << std::setw(6) << 100 * ratio(result.workOnTime, result.work) << "%  wasted prefill " << std::setw(5)
+            << 100 * ratio(static_cast<double>(result.wastedPrefill), static_cast<double>(result.prefilled)) << "%  inversions "
             << result.counters.tierInversions << "  twice " << result.counters.dispatchedTwice << "  late " << result.late << " failed " << result.failed
             << " shed " << result.shed << "  wait ms p50 " << static_cast<double>(result.wait.percentile(0.5).count()) / 1000 << " p99 "
             << static_cast<double>(result.wait.percentile(0.99).count()) / 1000 << "  control MB " << static_cast<double>(result.counters.controlBytes) / 1e6
             << "\n";
-        if (result.movesGood + result.movesBad > 0) {
-            out << "    moves: good " << result.movesGoodInTime << "/" << result.movesGood << " in time, bad " << result.movesTakenBack << "/"
-                << result.movesBad << " taken back, bad share at most " << 100 * result.badShareMax << "%, seconds at most " << result.badSecondsMaxFail
-                << " (fails) " << result.badSecondsMaxSlow << " (slows)\n";
+        if (result.goodMoves + result.badMoves > 0) {
+            out << "    moves: good " << result.goodMovesInTime << "/" << result.goodMoves << " in time, bad " << result.movesRolledBack << "/"
+                << result.badMoves << " taken back, bad share at most " << 100 * result.maxBadShare << "%, seconds at most " << result.maxBadSecondsFailing
+                << " (fails) " << result.maxBadSecondsSlow << " (slows)\n";
         }
     }
 }
--- a/src/bench/report.h
+++ b/src/bench/report.h
@@ -7,7 +7,7 @@
 namespace cumindyke
 {
 
-/// Results of one scenario by the policies' names.
+/// Results of one scenario by policy name.
 struct ScenarioReport
 {
     std::string scenario;
@@ -16,10 +16,10 @@
     std::map<std::string, ExperimentResult> policies;
 };
 
-/// One JSON object; docs/SCENARIOS.md lists its keys.
+/// Prints one JSON object; docs/SCENARIOS.md lists its keys.
 void printJson(std::ostream &out, const ScenarioReport &report);
 
-/// A table for people.
+/// Prints a table for human readers.
 void printTable(std::ostream &out, const ScenarioReport &report);
 
 }
--- a/src/bench/scenario.cpp
+++ b/src/bench/scenario.cpp
@@ -27,9 +27,9 @@
     return Duration(static_cast<Duration::rep>(table.number(key, fallback, 0, MaxSeconds * 1000) * 1000));
 }
 
-std::uint32_t count(TomlTable &table, std::string_view key, std::int64_t fallback, std::int64_t least)
+std::uint32_t count(TomlTable &table, std::string_view key, std::int64_t fallback, std::int64_t min)
 {
-    return static_cast<std::uint32_t>(table.integer(key, fallback, least, MaxTokens));
+    return static_cast<std::uint32_t>(table.integer(key, fallback, min, MaxTokens));
 }
 
 EngineSpeed parseSpeed(TomlTable &table)
@@ -43,7 +43,7 @@
         .cacheTokens = static_cast<std::uint64_t>(table.integer("cache_tokens", 64'000, 0, MaxTokens * 1000)),
         .reportLag = milliseconds(table, "report_lag_ms", 500),
         .cacheEventLag = milliseconds(table, "cache_event_lag_ms", 800),
-        .gapEvery = count(table, "gap_every", 50, 0),
+        .cacheEventGapInterval = count(table, "gap_every", 50, 0),
     };
 }
 
@@ -62,12 +62,12 @@
 
 std::vector<double> quantiles(TomlTable &table, std::string_view key)
 {
-    std::vector<double> found = table.numbers(key);
-    if (found.size() < 2 || !std::ranges::is_sorted(found) || found.front() < 1) {
-        table.reject(key, "write two or more rising numbers of tokens from 1 on: the least, equally spaced quantiles, the greatest");
+    std::vector<double> values = table.numbers(key);
+    if (values.size() < 2 || !std::ranges::is_sorted(values) || values.front() < 1) {
+        table.reject(key, "write two or more ascending numbers of tokens from 1 on: the minimum, equally spaced quantiles, the maximum");
         return {1, 1};
     }
-    return found;
+    return values;
 }
 
 ScenarioArrivals parseArrivals(TomlTable table)
@@ -81,9 +81,9 @@
         .deadline = seconds(table, "deadline_s", 30),
         .prompt = quantiles(table, "prompt"),
         .answer = quantiles(table, "answer"),
-        .sharedPart = table.number("shared_part", 0.5, 0, 1),
+        .sharedPrefixRatio = table.number("shared_part", 0.5, 0, 1),
         .prefixes = count(table, "prefixes", 20, 1),
-        .saysLength = table.number("says_length", 0.5, 0, 1),
+        .statedLimitRatio = table.number("says_length", 0.5, 0, 1),
         .route = table.text("route", "completions"),
     };
 }
@@ -108,19 +108,19 @@
     };
     const std::string kind = table.requiredText("kind");
     if (kind == "lost") {
-        fault.kind = ScenarioFault::Kind::Lost;
+        fault.kind = ScenarioFault::Kind::UpstreamFailed;
     } else if (kind == "entry-lost") {
-        fault.kind = ScenarioFault::Kind::EntryLost;
+        fault.kind = ScenarioFault::Kind::EntryVmFailed;
     } else if (kind == "scheduler-lost") {
-        fault.kind = ScenarioFault::Kind::SchedulerLost;
+        fault.kind = ScenarioFault::Kind::SchedulerFailed;
     } else if (kind != "slow") {
-        table.reject("kind", "'" + kind + "' is no fault: write \"slow\", \"lost\", \"entry-lost\" or \"scheduler-lost\"");
+        table.reject("kind", "'" + kind + "' is not a kind of fault: write \"slow\", \"lost\", \"entry-lost\" or \"scheduler-lost\"");
     }
     return fault;
 }
 
-/// Adds what a site file or a scenario file says; the later one wins, and its tables come after.
-void parseInto(Scenario &scenario, TomlTable &root)
+/// Merges a site file or a scenario file into the scenario: its values replace earlier ones, its tables are appended.
+void mergeTables(Scenario &scenario, TomlTable &root)
 {
     scenario.entryVms = count(root, "entry_vms", scenario.entryVms, 1);
     scenario.dataCentres = count(root, "data_centres", scenario.dataCentres, 1);
@@ -140,18 +140,18 @@
         scenario.faults.push_back(parseFault(table));
     }
     const double reportLag = root.number("report_lag_ms", -1, -1, MaxSeconds * 1000);
-    const std::int64_t gapEvery = root.integer("gap_every", -1, -1, MaxTokens);
+    const std::int64_t cacheEventGapInterval = root.integer("gap_every", -1, -1, MaxTokens);
     for (ScenarioUpstreams &upstreams : scenario.upstreams) {
         if (reportLag >= 0) {
             upstreams.speed.reportLag = Duration(static_cast<Duration::rep>(reportLag * 1000));
         }
-        if (gapEvery >= 0) {
-            upstreams.speed.gapEvery = static_cast<std::uint32_t>(gapEvery);
+        if (cacheEventGapInterval >= 0) {
+            upstreams.speed.cacheEventGapInterval = static_cast<std::uint32_t>(cacheEventGapInterval);
         }
     }
 }
 
-std::optional<Error> readInto(Scenario &scenario, const std::string &fileName)
+std::optional<Error> mergeFile(Scenario &scenario, const std::string &fileName)
 {
     auto document = TomlDocument::read(fileName);
     if (!ok(document)) {
@@ -162,11 +162,11 @@
     const std::string site = root.text("site", "");
     if (!site.empty()) {
         const std::filesystem::path folder = std::filesystem::path(fileName).parent_path();
-        if (auto error = readInto(scenario, (folder / "sites" / (site + ".toml")).string())) {
+        if (auto error = mergeFile(scenario, (folder / "sites" / (site + ".toml")).string())) {
             return error;
         }
     }
-    parseInto(scenario, root);
+    mergeTables(scenario, root);
     return valueOf(document)->finish();
 }
 
@@ -175,7 +175,7 @@
 Result<Scenario> readScenario(const std::string &fileName)
 {
     Scenario scenario;
-    if (const auto error = readInto(scenario, fileName)) {
+    if (const auto error = mergeFile(scenario, fileName)) {
         return *error;
     }
     scenario.name = std::filesystem::path(fileName).stem().string();
@@ -191,14 +191,14 @@
 Result<std::vector<std::string>> listScenarios(const std::string &folder)
 {
     std::vector<std::string> names;
-    std::error_code problem;
-    for (const auto &entry : std::filesystem::directory_iterator(folder, problem)) {
+    std::error_code error;
+    for (const auto &entry : std::filesystem::directory_iterator(folder, error)) {
         if (entry.path().extension() == ".toml") {
             names.push_back(entry.path().stem().string());
         }
     }
-    if (problem) {
-        return Error{ErrorKind::NotFound, folder + ": " + problem.message() + ": name the folder of scenarios with --scenarios"};
+    if (error) {
+        return Error{ErrorKind::NotFound, folder + ": " + error.message() + ": name the folder of scenarios with --scenarios"};
     }
     std::ranges::sort(names);
     return names;
--- a/src/bench/scenario.h
+++ b/src/bench/scenario.h
@@ -8,42 +8,42 @@
 #include <string>
 #include <vector>
 
-/// What an experiment is made of. docs/SCENARIOS.md describes the TOML form.
+/// Description of an experiment. docs/SCENARIOS.md describes the TOML form.
 namespace cumindyke
 {
 
-/// Several equal upstreams of a service, spread in turn over the data centres.
+/// Equal upstreams of a service, assigned to the data centres in turn.
 struct ScenarioUpstreams
 {
-    /// Names are prefix-1, prefix-2, ...
+    /// The upstreams are named prefix-1, prefix-2, ...
     std::string prefix;
     ServiceName service;
     VersionName version;
     std::uint32_t count = 1;
-    /// What the declarations allow; the engine's batch may be smaller.
+    /// Declared slots of each upstream; the engine's batch may be smaller.
     std::uint32_t slots = 32;
     EngineSpeed speed;
 };
 
-/// Requests of one kind.
+/// A stream of requests with the same service, tier and distributions.
 struct ScenarioArrivals
 {
     ServiceName service;
     TierRank tier;
-    /// Requests a second at load 1, Poisson.
+    /// Mean requests per second at load 1 (Poisson arrivals).
     double rate = 1;
     Duration from{};
     Duration until{};
     Duration deadline = std::chrono::seconds(30);
-    /// Equally spaced quantiles of the lengths in tokens.
+    /// Equally spaced quantiles of the lengths of prompts and answers in tokens.
     std::vector<double> prompt;
     std::vector<double> answer;
-    /// Part of the prompt that requests with the same prefix share.
-    double sharedPart = 0.5;
-    /// Prefixes of each organisation; the n-th is asked for in proportion to 1/n.
+    /// Ratio of the prompt that requests with the same prefix share.
+    double sharedPrefixRatio = 0.5;
+    /// Number of prefixes of each organisation; the n-th is used in proportion to 1/n.
     std::uint32_t prefixes = 20;
-    /// Part of the requests that say how long their answer may get, as a limit up to twice its length.
-    double saysLength = 0.5;
+    /// Ratio of the requests that state a limit for their answer, of one to two times its length.
+    double statedLimitRatio = 0.5;
     std::string route = "completions";
 };
 
@@ -51,23 +51,23 @@
 {
     OrganisationName name;
     std::uint32_t weight = 1;
-    /// Its part of the arrivals.
+    /// Its share of the arrivals, relative to the sum of all shares.
     double share = 1;
 };
 
 struct ScenarioFault
 {
     enum class Kind {
-        Slow, ///< an upstream's steps take factor times as long
-        Lost, ///< an upstream dies; what it runs is lost, and connections to it are refused
-        EntryLost, ///< an entry VM dies with the requests on it
-        SchedulerLost, ///< a cell's scheduler dies; another VM takes over after the lease
+        Slow, ///< the upstream's steps take `factor` times as long
+        UpstreamFailed, ///< an upstream dies: its running requests fail and it refuses connections
+        EntryVmFailed, ///< an entry VM dies and its requests fail
+        SchedulerFailed, ///< a cell's scheduler dies; another VM takes over after the lease expires
     };
     Kind kind = Kind::Slow;
-    /// The name of an upstream, VM or cell.
+    /// Name of the upstream or cell, or index of the entry VM.
     std::string target;
     Duration at{};
-    /// Zero: for good.
+    /// Zero: until the end of the run.
     Duration until{};
     double factor = 2;
 };
@@ -78,7 +78,7 @@
     std::string description;
     std::uint32_t entryVms = 8;
     std::uint32_t dataCentres = 3;
-    /// Between data centres; inside one a message takes a quarter.
+    /// Network delay of a message between data centres; a quarter of it within a data centre.
     Duration oneWay = std::chrono::microseconds(400);
     Duration duration = std::chrono::seconds(40);
     double load = 1;
@@ -88,10 +88,10 @@
     std::vector<ScenarioFault> faults;
 };
 
-/// Reads a scenario and the site file it names, from the scenario's folder. Errors name file, line, key and remedy.
+/// Reads a scenario and the site file that it names, from the folder sites/ next to it. Errors name file, line, key and remedy.
 Result<Scenario> readScenario(const std::string &fileName);
 
-/// The names of the scenarios in a folder, sorted. Error: NotFound.
+/// Returns the sorted names of the scenarios in a folder. Error: NotFound.
 Result<std::vector<std::string>> listScenarios(const std::string &folder);
 
 }
--- a/src/bench/workload.cpp
+++ b/src/bench/workload.cpp
@@ -11,10 +11,10 @@
 {
 
 constexpr double MicrosecondsPerSecond = 1e6;
-/// Keeps the prefixes of arrivals and organisations apart.
-constexpr std::uint64_t PrefixesApart = 100'000;
+/// Makes the prefix ids of different streams and organisations distinct.
+constexpr std::uint64_t PrefixIdStride = 100'000;
 
-/// Asked for in proportion to 1/1, 1/2, 1/3 ...
+/// Returns the weights 1/1, 1/2, 1/3, ...
 std::vector<double> harmonicWeights(std::uint32_t count)
 {
     std::vector<double> weights;
@@ -24,7 +24,7 @@
     return weights;
 }
 
-struct Stream
+struct ArrivalStream
 {
     const Scenario &scenario;
     const ScenarioArrivals &arrivals;
@@ -33,28 +33,28 @@
     std::vector<double> prefixWeights;
 };
 
-BenchRequest makeRequest(const Stream &stream, Random &random, TimePoint arrival)
+BenchRequest makeRequest(const ArrivalStream &stream, Random &random, TimePoint arrival)
 {
     const ScenarioArrivals &arrivals = stream.arrivals;
-    const std::size_t organisation = random.weighted(stream.organisationShares);
+    const std::size_t organisation = random.weightedIndex(stream.organisationShares);
     const auto prompt = static_cast<std::uint32_t>(random.fromQuantiles(arrivals.prompt));
     const auto answer = static_cast<std::uint32_t>(random.fromQuantiles(arrivals.answer));
-    const std::size_t prefix = random.weighted(stream.prefixWeights);
-    const bool saysLength = random.uniform() < arrivals.saysLength;
+    const std::size_t prefix = random.weightedIndex(stream.prefixWeights);
+    const bool statesLimit = random.uniform() < arrivals.statedLimitRatio;
     const double limitFactor = 1 + random.uniform();
     return BenchRequest{
         .service = arrivals.service,
         .tier = arrivals.tier,
         .organisation = stream.scenario.organisations[organisation].name,
         .route = arrivals.route,
-        .vm = random.below(stream.scenario.entryVms),
+        .vm = random.uniformInteger(stream.scenario.entryVms),
         .arrival = arrival,
         .deadline = arrival + arrivals.deadline,
         .prompt = TokenCount{prompt},
         .answer = TokenCount{answer},
-        .answerLimit = TokenCount{saysLength ? static_cast<std::uint32_t>(answer * limitFactor) : 0},
-        .prefix = (stream.number * PrefixesApart + organisation) * PrefixesApart + prefix + 1,
-        .sharedPrefix = TokenCount{static_cast<std::uint32_t>(prompt * arrivals.sharedPart)},
+        .answerLimit = TokenCount{statesLimit ? static_cast<std::uint32_t>(answer * limitFactor) : 0},
+        .prefix = (stream.number * PrefixIdStride + organisation) * PrefixIdStride + prefix + 1,
+        .sharedPrefix = TokenCount{static_cast<std::uint32_t>(prompt * arrivals.sharedPrefixRatio)},
     };
 }
 
@@ -65,18 +65,18 @@
     std::vector<BenchRequest> requests;
     for (std::size_t number = 0; number < scenario.arrivals.size(); ++number) {
         const ScenarioArrivals &arrivals = scenario.arrivals[number];
-        Stream stream{
+        ArrivalStream stream{
             .scenario = scenario, .arrivals = arrivals, .number = number, .organisationShares = {}, .prefixWeights = harmonicWeights(arrivals.prefixes)};
         for (const ScenarioOrganisation &organisation : scenario.organisations) {
             stream.organisationShares.push_back(organisation.share);
         }
-        // A generator for each stream: changing one stream's rate leaves the others as they are.
+        // Each stream has its own generator, so that changing the rate of one does not change the others.
         Random random(seed * 1000 + number);
-        const double gap = MicrosecondsPerSecond / (arrivals.rate * scenario.load);
+        const double meanGap = MicrosecondsPerSecond / (arrivals.rate * scenario.load);
         const TimePoint until{arrivals.until > Duration::zero() ? arrivals.until : scenario.duration};
         TimePoint at{arrivals.from};
         for (;;) {
-            at += Duration(static_cast<Duration::rep>(random.exponential() * gap));
+            at += Duration(static_cast<Duration::rep>(random.exponential() * meanGap));
             if (at >= until) {
                 break;
             }
--- a/src/bench/workload.h
+++ b/src/bench/workload.h
@@ -7,7 +7,7 @@
 namespace cumindyke
 {
 
-/// One request of an experiment, with what only the experiment knows of it.
+/// One request of an experiment, including properties such as its true answer length that the scheduler does not know.
 struct BenchRequest
 {
     std::uint32_t index = 0;
@@ -16,25 +16,26 @@
     TierRank tier;
     OrganisationName organisation;
     std::string route;
-    /// The entry VM the balancer gives it to, from 0.
+    /// Index of the entry VM that the balancer chooses, from 0.
     std::uint32_t vm = 0;
     TimePoint arrival;
     TimePoint deadline;
     TokenCount prompt;
-    /// Its true length.
+    /// True length of the answer.
     TokenCount answer;
-    /// The limit the caller gave; 0 when it gave none.
+    /// Limit of the answer's length that the caller states; 0: none.
     TokenCount answerLimit;
     std::uint64_t prefix = 0;
     TokenCount sharedPrefix;
 
+    /// Returns the total number of prompt and answer tokens.
     double work() const
     {
         return prompt.value + answer.value;
     }
 };
 
-/// All requests of a run, in the order of arrival.
+/// Generates the requests of a run in order of arrival.
 std::vector<BenchRequest> makeWorkload(const Scenario &scenario, std::uint64_t seed);
 
 }
--- a/tests/bench/benchcommandtest.cpp
+++ b/tests/bench/benchcommandtest.cpp
@@ -27,7 +27,7 @@
 
 }
 
-TEST_CASE("a histogram gives percentiles within two hundredths")
+TEST_CASE("a histogram gives percentiles within 2%")
 {
     Histogram histogram;
     for (int i = 1; i <= 100'000; ++i) {
@@ -45,7 +45,7 @@
     CHECK(Histogram().percentile(0.5) == Duration::zero());
 }
 
-TEST_CASE("the tool's JSON has the documented keys")
+TEST_CASE("the JSON output of run has the documented keys")
 {
     const std::string text = runTool({"run", "amman-steady", "--seeds", "2..3", "--policy", "baseline,cumindyke", "--json"});
     const auto json = nlohmann::json::parse(text);
@@ -72,7 +72,7 @@
     }
 }
 
-TEST_CASE("wrong usage is told with its remedy")
+TEST_CASE("wrong usage is reported with its remedy")
 {
     CHECK_THAT(runTool({"run", "amman-steady", "--policy", "hope"}, 2), Catch::Contains("choose among"));
     CHECK_THAT(runTool({"run", "amman-steady", "--seeds", "9..1"}, 2), Catch::Contains("write A..B"));
@@ -80,8 +80,9 @@
     CHECK_THAT(runTool({"load", "127.0.0.1:80"}, 2), Catch::Contains("http://HOST:PORT/PATH"));
 }
 
-TEST_CASE("the signature is the recorded one")
+TEST_CASE("the signature equals the recorded one")
 {
-    // It changes exactly when a decision changes. Then the new number goes here and into the commit, with the figures that justify it.
+    // The signature changes exactly when a decision changes. A commit that changes it records the new number here and gives the figures
+    // that justify it.
     CHECK(runTool({"signature"}) == "3237083006201153073\n");
 }
--- a/tests/bench/placementrigtest.cpp
+++ b/tests/bench/placementrigtest.cpp
@@ -22,7 +22,7 @@
 {
     double sum = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        const PlacementOutcome outcome = playPlacement(load, seed);
+        const PlacementOutcome outcome = simulatePlacement(load, seed);
         CHECK(outcome.dispatchedTwice == 0);
         sum += outcome.earnedShare();
     }
@@ -31,59 +31,59 @@
 
 }
 
-TEST_CASE("the same seed gives the same outcome")
+TEST_CASE("placement with the same seed gives the same outcome")
 {
     PlacementLoad load = shipped("burst");
     load.duration = std::chrono::seconds(8);
-    const PlacementOutcome one = playPlacement(load, 5);
-    const PlacementOutcome two = playPlacement(load, 5);
+    const PlacementOutcome one = simulatePlacement(load, 5);
+    const PlacementOutcome two = simulatePlacement(load, 5);
     CHECK(one.earnedShare() == two.earnedShare());
-    CHECK(playPlacement(load, 6).earnedShare() != one.earnedShare());
+    CHECK(simulatePlacement(load, 6).earnedShare() != one.earnedShare());
 }
 
-// Pattern: engines of three speeds at half of what they can do. Nobody has reason to wait, so whoever is late was placed badly: a long answer or prompt on the
-// slowest engines, or beside too many others.
-TEST_CASE("at half load nearly everybody is served on time")
+// Engines of three speeds run at half of their capacity, so no request needs to wait. A late one was placed badly: a long answer or prompt on the slowest
+// engines, or on an engine with too many other requests.
+TEST_CASE("at half load more than 98% of the worth is earned")
 {
     CHECK(meanShare(shipped("quiet"), 4) > 0.98);
 }
 
-// Pattern: twice of what the engines can do, for five seconds and again for two and a half. What is refused is told so while others are served on time: late
-// answers would take as much work and help little.
-TEST_CASE("a burst leaves no line of late answers behind")
+// The load is twice the engines' capacity for five seconds and again for two and a half. The excess must be refused early instead of answered late: late
+// answers take as much work and are worth little.
+TEST_CASE("during bursts late answers stay below a sixth of those on time")
 {
     const PlacementLoad load = shipped("burst");
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        const PlacementOutcome outcome = playPlacement(load, seed);
+        const PlacementOutcome outcome = simulatePlacement(load, seed);
         CHECK(outcome.dispatchedTwice == 0);
         std::uint32_t onTime = 0;
         std::uint32_t late = 0;
         for (const auto &[name, route] : outcome.routes) {
             onTime += route.onTime;
             late += route.late;
-            // Every request has an end.
+            // Every request has exactly one result.
             CHECK(route.requests == route.onTime + route.late + route.refused + route.overLimit + route.failed);
         }
         CHECK(late * 6 < onTime);
     }
 }
 
-// Pattern: one organisation asks for six times its usual while three engines are lost. The others are within their limits.
-TEST_CASE("more urgent routes get more of what they ask for when an organisation floods the service")
+// One organisation sends six times its usual load while three engines are down. The other organisations stay within their limits.
+TEST_CASE("more urgent routes earn a larger share when an organisation floods the service")
 {
     const PlacementLoad load = shipped("hot-organisation");
     double urgent = 0;
     double routine = 0;
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        const PlacementOutcome outcome = playPlacement(load, seed);
-        urgent += outcome.routes.at("long-notes").earned / outcome.routes.at("long-notes").owed;
-        routine += outcome.routes.at("labels").earned / outcome.routes.at("labels").owed;
+        const PlacementOutcome outcome = simulatePlacement(load, seed);
+        urgent += outcome.routes.at("long-notes").earnedWorth / outcome.routes.at("long-notes").possibleWorth;
+        routine += outcome.routes.at("labels").earnedWorth / outcome.routes.at("labels").possibleWorth;
     }
     CHECK(urgent > routine);
     CHECK(urgent / 4 > 0.85);
 }
 
-TEST_CASE("a load with impossible values is refused with key and remedy")
+TEST_CASE("a load with invalid values is refused with the names of the keys")
 {
     const std::string file = std::string(CUMINDYKE_BIN) + "/bad-load.toml";
     std::ofstream(file) << "duration_s = -1\nspeed = 3\n[[route]]\nname = \"r\"\nprompt = [9, 3]\nanswer = [1, 2]\n[[engines]]\nprefix = \"e\"\n";
--- a/tests/bench/worldtest.cpp
+++ b/tests/bench/worldtest.cpp
@@ -18,7 +18,7 @@
 
 }
 
-TEST_CASE("random numbers are the documented ones")
+TEST_CASE("random numbers follow their distributions and repeat with the same seed")
 {
     Random random(1);
     double sum = 0;
@@ -42,7 +42,7 @@
     }
 }
 
-TEST_CASE("a run repeats bit for bit, and every request ends once")
+TEST_CASE("a run repeats with the same signature, and every request ends once")
 {
     const Scenario scenario = shipped("lagos-lost-engine");
     for (const std::string &policy : policyNames()) {
@@ -60,7 +60,7 @@
     }
 }
 
-TEST_CASE("the sum over seeds does not depend on the threads")
+TEST_CASE("the sum over seeds does not depend on the order of the threads")
 {
     const Scenario scenario = shipped("amman-steady");
     CHECK(runSeeds(scenario, "baseline", 1, 6).signature == runSeeds(scenario, "baseline", 1, 6).signature);
