--- a/src/bench/baselinepolicy.cpp
+++ b/src/bench/baselinepolicy.cpp
@@ -11,7 +11,7 @@
 
 }
 
-std::vector<Change> upstreamDeclarations(World &world)
+std::vector<Change> scenarioDeclarations(World &world)
 {
     std::vector<Change> changes;
     for (const ScenarioOrganisation &organisation : world.scenario().organisations) {
@@ -31,11 +31,11 @@
 
 BaselinePolicy::BaselinePolicy(World &world)
     : m_world(world)
-    , m_allDeclarations(upstreamDeclarations(world))
+    , m_declarationChanges(scenarioDeclarations(world))
     , m_vms(world.scenario().entryVms)
 {
     for (Vm &vm : m_vms) {
-        vm.declarations = Declarations::restored(Revision{1}, m_allDeclarations);
+        vm.declarations = Declarations::restored(Revision{1}, m_declarationChanges);
     }
     for (const BenchUpstream &upstream : world.upstreams()) {
         m_versions.emplace(upstream.service, upstream.version);
@@ -105,7 +105,7 @@
     Vm &vm = m_vms[index];
     std::erase_if(vm.ejectedUntil, [now](const auto &ejected) { return ejected.second <= now; });
     std::vector<Change> changes;
-    for (const Change &change : m_allDeclarations) {
+    for (const Change &change : m_declarationChanges) {
         const auto *upstream = std::get_if<Upstream>(&change);
         if (!upstream || !vm.ejectedUntil.contains(upstream->name)) {
             changes.push_back(change);
--- a/src/bench/baselinepolicy.h
+++ b/src/bench/baselinepolicy.h
@@ -11,7 +11,7 @@
 {
 
 /// Returns the declarations of the scenario's organisations and upstreams.
-std::vector<Change> upstreamDeclarations(World &world);
+std::vector<Change> scenarioDeclarations(World &world);
 
 /// The baseline without coordination between VMs: each entry VM has a first-come, first-served queue per service and the shipped
 /// LeastOutstanding, and ejects an upstream that refused a connection for a second.
@@ -36,7 +36,7 @@
     void updateDeclarations(std::uint32_t vm, TimePoint now);
 
     World &m_world;
-    std::vector<Change> m_allDeclarations;
+    std::vector<Change> m_declarationChanges;
     std::map<ServiceName, VersionName> m_versions;
     std::vector<Vm> m_vms;
 };
--- a/src/bench/cumindykepolicy.cpp
+++ b/src/bench/cumindykepolicy.cpp
@@ -24,7 +24,7 @@
 CumindykePolicy::CumindykePolicy(World &world, const CumindykeOptions &options)
     : m_world(world)
     , m_options(options)
-    , m_declarations(Declarations::restored(Revision{1}, upstreamDeclarations(world)))
+    , m_declarations(Declarations::restored(Revision{1}, scenarioDeclarations(world)))
 {
     world.onArrival = [this](const BenchRequest &request, TimePoint now) { handleArrival(request, now); };
     world.onDispatchEnded = [this](const BenchRequest &request, const BenchUpstream &upstream, DispatchResult result, TimePoint now) {
--- a/src/bench/loadrun.cpp
+++ b/src/bench/loadrun.cpp
@@ -32,7 +32,7 @@
 public:
     explicit LoadRun(const LoadOptions &options)
         : m_options(options)
-        , m_tickTimer(m_loop, [this] { tick(); })
+        , m_tickTimer(m_loop, [this] { handleTick(); })
         , m_endTimer(m_loop, [this] { handleEndTimer(); })
         , m_cleanUpTimer(m_loop, [this] { m_endedCalls.clear(); })
     {
@@ -56,7 +56,7 @@
 private:
     struct Call
     {
-        TimePoint due;
+        TimePoint dueAt;
         std::unique_ptr<UpstreamCall> upstreamCall;
         int status = 0;
         bool hasFirstByte = false;
@@ -75,21 +75,21 @@
         finishIfDone();
     }
 
-    void tick()
+    void handleTick()
     {
-        const auto gap = Duration(static_cast<Duration::rep>(MicrosecondsPerSecond / m_options.rate));
+        const auto interval = Duration(static_cast<Duration::rep>(MicrosecondsPerSecond / m_options.rate));
         const TimePoint now = EventLoop::now();
-        for (TimePoint due = m_startedAt + gap * (m_result.sent + m_result.skipped); canStart() && due <= now; due += gap) {
+        for (TimePoint dueAt = m_startedAt + interval * (m_result.sent + m_result.skipped); canStart() && dueAt <= now; dueAt += interval) {
             if (m_calls.size() >= MaxInFlight) {
                 ++m_result.skipped;
                 continue;
             }
-            startCall(due);
+            startCall(dueAt);
         }
         finishIfDone();
     }
 
-    void startCall(TimePoint due)
+    void startCall(TimePoint dueAt)
     {
         const std::uint64_t callNumber = ++m_result.sent;
         UpstreamRequest request{
@@ -104,18 +104,18 @@
             request.headers.emplace_back("Authorization", "Bearer " + m_options.apiKey);
         }
         auto call = std::make_unique<Call>();
-        call->due = due;
+        call->dueAt = dueAt;
         call->upstreamCall = std::make_unique<UpstreamCall>(m_loop, std::move(request), ProgressTimeouts{});
         Call *state = call.get();
         state->upstreamCall->head().connect([state](const AnswerHead &head) { state->status = head.status; });
         state->upstreamCall->data().connect([this, state](std::string_view) {
             if (!std::exchange(state->hasFirstByte, true)) {
-                m_result.timeToFirstByte.record(EventLoop::now() - state->due);
+                m_result.timeToFirstByte.record(EventLoop::now() - state->dueAt);
             }
         });
         state->upstreamCall->finished().connect([this, callNumber, state] {
             ++m_result.statuses[state->status];
-            m_result.totalTime.record(EventLoop::now() - state->due);
+            m_result.totalTime.record(EventLoop::now() - state->dueAt);
             removeCall(callNumber);
         });
         state->upstreamCall->failed().connect([this, callNumber](CallFailure) {
--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -104,12 +104,12 @@
     void makeEngines();
     void scheduleEngineFailures();
     void schedule(TimePoint when, std::function<void()> callback);
-    void tick();
+    void handleTick();
     void updateLists();
     void sendNotice(Vm &from);
     Vm &serverOf(Vm &vm);
 
-    void arrive(std::uint32_t index);
+    void handleArrival(std::uint32_t index);
     void scheduleState(Vm &vm);
     void sendState(Vm &vm);
     void scheduleAdvance(Vm &vm);
@@ -231,9 +231,9 @@
 PlacementOutcome PlacementSimulation::simulate()
 {
     updateLists();
-    tick();
+    handleTick();
     for (const Run &run : m_runs) {
-        schedule(run.request.arrival, [this, index = run.request.index] { arrive(index); });
+        schedule(run.request.arrival, [this, index = run.request.index] { handleArrival(index); });
     }
     while (!m_events.empty() && m_endedCount < m_runs.size()) {
         // The event is moved out before it runs, since it may add others.
@@ -257,7 +257,7 @@
     schedule(m_now + ListInterval, [this] { updateLists(); });
 }
 
-void PlacementSimulation::tick()
+void PlacementSimulation::handleTick()
 {
     for (Vm &vm : m_vms) {
         vm.server->expireTimedOut(m_now);
@@ -266,7 +266,7 @@
             scheduleAdvance(vm);
         }
     }
-    schedule(m_now + TickInterval, [this] { tick(); });
+    schedule(m_now + TickInterval, [this] { handleTick(); });
 }
 
 PlacementSimulation::Vm &PlacementSimulation::serverOf(Vm &vm)
@@ -275,7 +275,7 @@
     return *std::ranges::find(m_vms, server, &Vm::name);
 }
 
-void PlacementSimulation::arrive(std::uint32_t index)
+void PlacementSimulation::handleArrival(std::uint32_t index)
 {
     Run &run = m_runs[index];
     const LoadRequest &request = run.request;
@@ -409,7 +409,7 @@
     vmOf(run).client->ended(run.placementId, v1::PLACEMENT_CANCELLED, {});
     if (run.attempts < MaxAttempts && left > Duration::zero()) {
         run.request.vm = nextVm(run.request.vm);
-        schedule(m_now + std::min(refusal.retryAfter, left / RetryTimeDivisor), [this, index = run.request.index] { arrive(index); });
+        schedule(m_now + std::min(refusal.retryAfter, left / RetryTimeDivisor), [this, index = run.request.index] { handleArrival(index); });
         return;
     }
     run.ended = true;
@@ -469,17 +469,17 @@
     if (!finished) {
         return;
     }
-    const LoadRoute &kind = *run.request.route;
-    RouteOutcome &route = m_outcome.routes[kind.name];
-    if (event.at > run.request.arrival + kind.deadline) {
+    const LoadRoute &limits = *run.request.route;
+    RouteOutcome &route = m_outcome.routes[limits.name];
+    if (event.at > run.request.arrival + limits.deadline) {
         ++route.failed;
     } else {
-        const bool firstInTime = run.firstEventAt <= run.request.arrival + kind.objective;
-        const bool paused = kind.maxPause > Duration::zero() && run.longestPause > kind.maxPause;
+        const bool firstInTime = run.firstEventAt <= run.request.arrival + limits.objective;
+        const bool paused = limits.maxPause > Duration::zero() && run.longestPause > limits.maxPause;
         const bool onTime = firstInTime && !paused;
         ++(onTime ? route.onTime : route.late);
         route.paused += firstInTime && paused ? 1 : 0;
-        route.earnedWorth += onTime ? run.request.worth : run.request.worth * kind.lateWorth / kind.worth;
+        route.earnedWorth += onTime ? run.request.worth : run.request.worth * limits.lateWorth / limits.worth;
     }
     finish(run, v1::PLACEMENT_SERVED);
 }
