--- a/src/microbench/microbench.cpp
+++ b/src/microbench/microbench.cpp
@@ -1,4 +1,4 @@
-// Cost of the decisions, by google-benchmark: placement, the queue and a scheduler's step at the sizes that docs/CAPACITY.md uses.
+// Measures the cost of decisions with google-benchmark: placement, the queue and a scheduler's step, at the sizes used in docs/CAPACITY.md.
 
 #include "cell/cellscheduler.h"
 #include "policy/pendingqueue.h"
@@ -12,8 +12,8 @@
 namespace
 {
 
-/// The most upstreams of a cell; more are several cells.
-constexpr std::int64_t CellSize = 50;
+/// Maximum number of upstreams of a cell; a service with more has several cells.
+constexpr std::int64_t MaxCellUpstreams = 50;
 
 std::vector<UpstreamState> makeUpstreams(std::int64_t count)
 {
@@ -31,7 +31,7 @@
     return upstreams;
 }
 
-/// One placement when all upstreams are looked at: what cells spare.
+/// Places one request among all upstreams, the cost that cells avoid.
 void placementOverAll(benchmark::State &state)
 {
     std::vector<UpstreamState> upstreams = makeUpstreams(state.range(0));
@@ -42,22 +42,22 @@
 }
 BENCHMARK(placementOverAll)->Arg(10)->Arg(50)->Arg(500)->Arg(2500);
 
-/// One placement with the upstreams in cells of at most 50, each cell in its turn.
+/// Places one request in a cell of at most 50 upstreams, in each cell in turn.
 void placementByCells(benchmark::State &state)
 {
     std::vector<std::vector<UpstreamState>> cells;
-    for (std::int64_t left = state.range(0); left > 0; left -= CellSize) {
-        cells.push_back(makeUpstreams(std::min(left, CellSize)));
+    for (std::int64_t remaining = state.range(0); remaining > 0; remaining -= MaxCellUpstreams) {
+        cells.push_back(makeUpstreams(std::min(remaining, MaxCellUpstreams)));
     }
     const PlacementRequest request{.prompt = TokenCount{600}, .answer = TokenCount{200}, .cachedOn = 0b1010, .deadline = TimePoint(30s)};
-    std::size_t turn = 0;
+    std::size_t nextCell = 0;
     for (auto _ : state) {
-        benchmark::DoNotOptimize(choosePlacement(cells[turn++ % cells.size()], request, {}, TimePoint(1s)));
+        benchmark::DoNotOptimize(choosePlacement(cells[nextCell++ % cells.size()], request, {}, TimePoint(1s)));
     }
 }
 BENCHMARK(placementByCells)->Arg(10)->Arg(50)->Arg(500)->Arg(2500);
 
-PendingRequest makePending(std::int64_t number)
+PendingRequest makePendingRequest(std::int64_t number)
 {
     return PendingRequest{
         .id = RequestId{"r" + std::to_string(number)},
@@ -69,23 +69,23 @@
     };
 }
 
-/// A request enters a queue of some size and the first one leaves it.
+/// Enqueues a request into a queue of the given size and removes the first one.
 void queueAddAndTake(benchmark::State &state)
 {
     PendingQueue queue;
     std::int64_t number = 0;
     while (number < state.range(0)) {
-        queue.add(makePending(number++));
+        queue.add(makePendingRequest(number++));
     }
     for (auto _ : state) {
-        queue.add(makePending(number++));
+        queue.add(makePendingRequest(number++));
         const RequestId first = queue.first()->id;
         queue.dequeue(first);
     }
 }
 BENCHMARK(queueAddAndTake)->Arg(10)->Arg(50)->Arg(500)->Arg(2500);
 
-/// A scheduler takes a demand of 16 lines from one of 8 VMs and decides, with a cell of some upstreams that always have room.
+/// Runs a scheduler step after a demand of 16 entries from one of 8 VMs, in a cell whose upstreams always have a free slot.
 void schedulerStep(benchmark::State &state)
 {
     CellScheduler scheduler(CellOptions{.cell = CellName{"drafting/dc0"}, .epoch = Epoch{1}}, TimePoint{});
--- a/tests/measure/logmeasure.cpp
+++ b/tests/measure/logmeasure.cpp
@@ -10,7 +10,7 @@
 #include <cstdio>
 #include <thread>
 
-/// Figures of the replicated log on real disks; docs/measurements/control-log.md. Nothing is asserted about time.
+/// Measures the replicated log on real disks for docs/measurements/control-log.md. Asserts nothing about the measured times.
 using namespace cumindyke;
 using namespace cumindyke::test;
 
@@ -40,45 +40,46 @@
     std::fflush(stdout);
 }
 
-void printSpread(const char *what, std::vector<double> times)
+void printRange(const char *what, std::vector<double> times)
 {
     std::ranges::sort(times);
     std::printf("%s, %zu times: min %.0f, median %.0f, max %.0f ms\n", what, times.size(), times.front(), times[times.size() / 2], times.back());
     std::fflush(stdout);
 }
 
-/// The newest term that a VM of five says it leads.
+/// Returns the newest term for which any of the five VMs logged itself as the leader.
 std::uint64_t newestLedTerm(ReplicaCluster &cluster)
 {
     std::uint64_t newest = 0;
     for (int vm = 1; vm <= 5; ++vm) {
         const std::string log = cluster.daemon(vm).log();
-        const std::string led = "change=leader leader=vm-" + std::to_string(vm) + " term=";
-        const std::size_t last = log.rfind(led);
+        const std::string leaderEntry = "change=leader leader=vm-" + std::to_string(vm) + " term=";
+        const std::size_t last = log.rfind(leaderEntry);
         if (last != std::string::npos) {
-            newest = std::max(newest, static_cast<std::uint64_t>(std::stoull(log.substr(last + led.size()))));
+            newest = std::max(newest, static_cast<std::uint64_t>(std::stoull(log.substr(last + leaderEntry.size()))));
         }
     }
     return newest;
 }
 
-/// Commands that lose (their base revision doesn't exist) go through the log like those that win, and don't wait for each other.
-void concurrentCommands(ReplicaCluster &cluster, int replicas, std::size_t clients, int each)
+/// Measures commands from several clients at once. They are rejected, since their base revision doesn't exist, but go through the log
+/// like accepted ones, and need not wait for each other's revision.
+void measureConcurrentCommands(ReplicaCluster &cluster, int replicas, std::size_t clients, int commandsPerClient)
 {
     const std::string server = cluster.daemon(cluster.leader()).rpc();
     std::vector<std::vector<double>> latencies(clients);
     std::vector<std::thread> threads;
     const auto start = Clock::now();
     for (std::size_t client = 0; client < clients; ++client) {
-        threads.emplace_back([&server, &mine = latencies[client], client, clients, each] {
-            OperatorClient calls(server, Patience);
-            for (int i = 0; i < each; ++i) {
+        threads.emplace_back([&server, &clientLatencies = latencies[client], client, clients, commandsPerClient] {
+            OperatorClient operatorClient(server, Patience);
+            for (int i = 0; i < commandsPerClient; ++i) {
                 v1::ApplyRequest request;
                 request.set_command_id("load-" + std::to_string(clients) + "-" + std::to_string(client) + "-" + std::to_string(i));
                 request.set_base_revision(1'000'000'000);
                 const auto sent = Clock::now();
-                if (ok(calls.apply(request))) {
-                    mine.push_back(millisecondsSince(sent));
+                if (ok(operatorClient.apply(request))) {
+                    clientLatencies.push_back(millisecondsSince(sent));
                 }
             }
         });
@@ -88,8 +89,8 @@
     }
     const double elapsed = millisecondsSince(start);
     std::vector<double> all;
-    for (const std::vector<double> &some : latencies) {
-        all.insert(all.end(), some.begin(), some.end());
+    for (const std::vector<double> &clientLatencies : latencies) {
+        all.insert(all.end(), clientLatencies.begin(), clientLatencies.end());
     }
     printLatencies("commands", replicas, clients, std::move(all), elapsed);
 }
@@ -105,9 +106,9 @@
         cluster.change(i);
         latencies.push_back(millisecondsSince(sent));
     }
-    printLatencies("applies one after the other, at VMs in turn", replicas, 1, std::move(latencies), millisecondsSince(start));
-    concurrentCommands(cluster, replicas, 1, 500);
-    concurrentCommands(cluster, replicas, 16, 250);
+    printLatencies("sequential applies, at VMs in turn", replicas, 1, std::move(latencies), millisecondsSince(start));
+    measureConcurrentCommands(cluster, replicas, 1, 500);
+    measureConcurrentCommands(cluster, replicas, 16, 250);
 }
 
 v1::Command organisationCommand(int number, std::uint64_t base)
@@ -125,7 +126,7 @@
     return command;
 }
 
-/// Opens a single replica in a folder; returns the milliseconds until it answers reads.
+/// Opens a single replica in a folder and returns the milliseconds until it can answer reads.
 double openLog(const std::string &folder, raft::SnapshotPolicy policy, StateMachine &state, std::unique_ptr<raft::ReplicatedLog> &log)
 {
     const auto start = Clock::now();
@@ -185,8 +186,8 @@
     ReplicaCluster cluster(5, 5);
     REQUIRE(eventually([&] { return cluster.leader() != 0; }));
     cluster.change(1);
-    std::vector<double> times;
-    std::vector<double> accepted;
+    std::vector<double> leaderlessTimes;
+    std::vector<double> acceptedTimes;
     for (int i = 0; i < 20; ++i) {
         const int leader = cluster.leader();
         REQUIRE(leader != 0);
@@ -195,13 +196,13 @@
         cluster.kill(leader);
         const auto newLeader = [&] { return newestLedTerm(cluster) > term; };
         REQUIRE(eventually(newLeader));
-        times.push_back(millisecondsSince(killed));
+        leaderlessTimes.push_back(millisecondsSince(killed));
         cluster.change(2 + i);
-        accepted.push_back(millisecondsSince(killed));
+        acceptedTimes.push_back(millisecondsSince(killed));
         cluster.restart(leader);
     }
-    printSpread("no leader after kill -9, 5 replicas", times);
-    printSpread("until a change is accepted after kill -9, 5 replicas", accepted);
+    printRange("no leader after kill -9, 5 replicas", leaderlessTimes);
+    printRange("until a change is accepted after kill -9, 5 replicas", acceptedTimes);
 }
 
 TEST_CASE("recovery")
