--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -1,4 +1,4 @@
-#include "bench/placementrig.h"
+#include "bench/placementsimulation.h"
 
 #include "placement/placementclient.h"
 #include "placement/placementserver.h"
