--- a/tests/bench/placementrigtest.cpp
+++ b/tests/bench/placementsimulationtest.cpp
@@ -1,5 +1,5 @@
-#include "bench/benchcommand.h"
 #include "bench/placementsimulation.h"
+#include "bench/benchcommand.h"
 
 #include <catch2/catch.hpp>
 
