--- a/src/bench/enginemodel.cpp
+++ b/src/bench/enginemodel.cpp
@@ -94,9 +94,9 @@
         Sequence sequence = std::move(m_waiting.front());
         m_waiting.pop_front();
         const EngineRequest &request = sequence.request;
-        const std::uint32_t hit = isCached(request.prefix) ? std::min(request.sharedPrefix.value, request.prompt.value) : 0;
+        const std::uint32_t cachedTokens = isCached(request.prefix) ? std::min(request.sharedPrefix.value, request.prompt.value) : 0;
         // The last prompt token is always computed, since its logits give the answer's first token.
-        sequence.remainingPrefill = std::max<std::uint32_t>(request.prompt.value - hit, 1);
+        sequence.remainingPrefill = std::max<std::uint32_t>(request.prompt.value - cachedTokens, 1);
         m_prefilledTokens += sequence.remainingPrefill;
         updateCache(request, now);
         m_running.push_back(std::move(sequence));
@@ -160,9 +160,9 @@
 
 EngineLoad EngineModel::reportedLoad(TimePoint now) const
 {
-    const TimePoint then = now - m_speed.reportLag;
-    const auto later = std::ranges::upper_bound(m_loadHistory, then, {}, &EngineLoad::at);
-    return later == m_loadHistory.begin() ? EngineLoad{.running = 0, .waiting = 0, .pendingTokens = 0, .at = then} : *std::prev(later);
+    const TimePoint reportedAt = now - m_speed.reportLag;
+    const auto firstNewer = std::ranges::upper_bound(m_loadHistory, reportedAt, {}, &EngineLoad::at);
+    return firstNewer == m_loadHistory.begin() ? EngineLoad{.running = 0, .waiting = 0, .pendingTokens = 0, .at = reportedAt} : *std::prev(firstNewer);
 }
 
 bool EngineModel::isCached(std::uint64_t prefix) const
@@ -172,9 +172,9 @@
 
 void EngineModel::updateCache(const EngineRequest &request, TimePoint now)
 {
-    const auto known = m_cache.find(request.prefix);
-    if (known != m_cache.end()) {
-        m_cacheByRecency.splice(m_cacheByRecency.begin(), m_cacheByRecency, known->second);
+    const auto cachedEntry = m_cache.find(request.prefix);
+    if (cachedEntry != m_cache.end()) {
+        m_cacheByRecency.splice(m_cacheByRecency.begin(), m_cacheByRecency, cachedEntry->second);
         return;
     }
     if (request.sharedPrefix.value == 0 || request.sharedPrefix.value > m_speed.cacheTokens) {
--- a/src/bench/moveoutcomes.cpp
+++ b/src/bench/moveoutcomes.cpp
@@ -345,9 +345,9 @@
         dispatchWaiting();
     }
 
-    void sendReport(std::size_t number)
+    void sendReport(std::size_t vmIndex)
     {
-        EntryVm &vm = m_vms[number];
+        EntryVm &vm = m_vms[vmIndex];
         std::erase_if(vm.awaitingFirstToken, [&](std::size_t index) {
             RunningRequest &request = m_running[index];
             if (!request.hasFirstToken) {
@@ -357,7 +357,7 @@
         });
         ++vm.sequence;
         if (m_random.uniform() >= ReportLossRatio) {
-            m_collector.take(VmName{"vm" + std::to_string(number)}, "1", vm.sequence, vm.counters.counts());
+            m_collector.take(VmName{"vm" + std::to_string(vmIndex)}, "1", vm.sequence, vm.counters.counts());
         }
     }
 
--- a/src/bench/moveoutcomes.h
+++ b/src/bench/moveoutcomes.h
@@ -39,6 +39,7 @@
     bool good = false;
     /// The move lacks the traffic or time for a verdict: it is rolled back and counted neither as good nor as bad.
     bool undecidable = false;
+    /// The fault slows answers down instead of failing them.
     bool slowsDown = false;
     MoveFault fault;
     double requestsPerSecond = 100;
--- a/src/bench/oraclepolicy.cpp
+++ b/src/bench/oraclepolicy.cpp
@@ -81,9 +81,9 @@
 Duration OraclePolicy::predictedDuration(const BenchRequest &request, const BenchUpstream &upstream) const
 {
     const EngineSpeed &speed = upstream.speed;
-    const std::uint32_t hit = upstream.engine.isCached(request.prefix) ? request.sharedPrefix.value : 0;
-    const std::uint64_t ahead = upstream.engine.load(TimePoint{}).pendingPrefill;
-    const double prefill = static_cast<double>((speed.prefillPerToken * (request.prompt.value - hit + ahead)).count());
+    const std::uint32_t cachedTokens = upstream.engine.isCached(request.prefix) ? request.sharedPrefix.value : 0;
+    const std::uint64_t pendingPrefill = upstream.engine.load(TimePoint{}).pendingPrefill;
+    const double prefill = static_cast<double>((speed.prefillPerToken * (request.prompt.value - cachedTokens + pendingPrefill)).count());
     const double step = static_cast<double>((speed.stepBase + speed.stepPerSequence * speed.maxBatch).count()) / (1 - PrefillShare);
     return Duration(static_cast<Duration::rep>((prefill + step * request.answer.value) * upstream.slowness));
 }
--- a/src/bench/placementsimulation.cpp
+++ b/src/bench/placementsimulation.cpp
@@ -27,7 +27,7 @@
 /// Network delay between VMs of one data centre, and to an engine.
 constexpr Duration LocalDelay = std::chrono::microseconds(300);
 /// Callers retry once, after Retry-After or this fraction (1/3) of their remaining time, whichever is shorter.
-constexpr int RetryTimeDivisor = 3;
+constexpr int RemainingTimeDivisor = 3;
 constexpr std::uint32_t MaxAttempts = 2;
 /// As in src/proxy/requestparser.cpp.
 constexpr std::uint32_t RanksPerOrganisation = 1'000;
@@ -405,11 +405,11 @@
 void PlacementSimulation::handleRefusal(Run &run, const PlacementRefused &refusal)
 {
     RouteOutcome &route = m_outcome.routes[run.request.route->name];
-    const Duration left = run.request.arrival + run.request.route->deadline - m_now;
+    const Duration remainingTime = run.request.arrival + run.request.route->deadline - m_now;
     vmOf(run).client->ended(run.placementId, v1::PLACEMENT_CANCELLED, {});
-    if (run.attempts < MaxAttempts && left > Duration::zero()) {
+    if (run.attempts < MaxAttempts && remainingTime > Duration::zero()) {
         run.request.vm = nextVm(run.request.vm);
-        schedule(m_now + std::min(refusal.retryAfter, left / RetryTimeDivisor), [this, index = run.request.index] { handleArrival(index); });
+        schedule(m_now + std::min(refusal.retryAfter, remainingTime / RemainingTimeDivisor), [this, index = run.request.index] { handleArrival(index); });
         return;
     }
     run.ended = true;
--- a/src/bench/report.cpp
+++ b/src/bench/report.cpp
@@ -13,9 +13,9 @@
 
 using Json = nlohmann::ordered_json;
 
-double ratio(double part, double whole)
+double ratio(double numerator, double denominator)
 {
-    return whole > 0 ? part / whole : 0;
+    return denominator > 0 ? numerator / denominator : 0;
 }
 
 Json rangeJson(const std::vector<double> &values)
@@ -100,7 +100,7 @@
             << "\n";
         if (result.goodMoves + result.badMoves > 0) {
             out << "    moves: good " << result.goodMovesInTime << "/" << result.goodMoves << " in time, bad " << result.movesRolledBack << "/"
-                << result.badMoves << " taken back, bad share at most " << 100 * result.maxBadShare << "%, seconds at most " << result.maxBadSecondsFailing
+                << result.badMoves << " rolled back, bad share at most " << 100 * result.maxBadShare << "%, seconds at most " << result.maxBadSecondsFailing
                 << " (fails) " << result.maxBadSecondsSlow << " (slows)\n";
         }
     }
--- a/src/bench/world.cpp
+++ b/src/bench/world.cpp
@@ -129,9 +129,9 @@
                  [this, upstream, index = request.index](TimePoint then) { finishDispatch(upstream, index, DispatchResult::ConnectionRefused, then); });
         return;
     }
-    const std::uint32_t hit = target.engine.isCached(request.prefix) ? request.sharedPrefix.value : 0;
-    record.prefilled = request.prompt.value - hit;
-    record.cachedOnOtherUpstream = hit > 0 ? 0 : cachedOnOtherUpstream(request, upstream);
+    const std::uint32_t cachedTokens = target.engine.isCached(request.prefix) ? request.sharedPrefix.value : 0;
+    record.prefilled = request.prompt.value - cachedTokens;
+    record.cachedOnOtherUpstream = cachedTokens > 0 ? 0 : cachedOnOtherUpstream(request, upstream);
     target.running.emplace(request.id, request.index);
     target.engine.submit(
         EngineRequest{.id = request.id, .prompt = request.prompt, .sharedPrefix = request.sharedPrefix, .prefix = request.prefix, .answer = request.answer},
--- a/tests/bench/benchcommandtest.cpp
+++ b/tests/bench/benchcommandtest.cpp
@@ -34,8 +34,8 @@
         histogram.record(Duration(i * 10));
     }
     CHECK(histogram.count() == 100'000);
-    for (const double part : {0.1, 0.5, 0.9, 0.99, 0.999}) {
-        CHECK(static_cast<double>(histogram.percentile(part).count()) == Approx(part * 1e6).epsilon(0.02));
+    for (const double ratio : {0.1, 0.5, 0.9, 0.99, 0.999}) {
+        CHECK(static_cast<double>(histogram.percentile(ratio).count()) == Approx(ratio * 1e6).epsilon(0.02));
     }
     CHECK(histogram.percentile(1) == 1s);
     Histogram sum;
