--- a/src/bench/benchcommand.cpp
+++ b/src/bench/benchcommand.cpp
@@ -2,7 +2,7 @@
 
 #include "bench/loadrun.h"
 #include "bench/movereport.h"
-#include "bench/placementsimulation.h"
+#include "bench/placementrig.h"
 #include "bench/report.h"
 #include "common/hash.h"
 
--- a/src/bench/placementreport.cpp
+++ b/src/bench/placementreport.cpp
@@ -1,6 +1,6 @@
 #include "bench/placementreport.h"
 
-#include "bench/placementsimulation.h"
+#include "bench/placementrig.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/bench/placementsimulation.cpp
+++ b/src/bench/placementsimulation.cpp
@@ -1,4 +1,4 @@
-#include "bench/placementsimulation.h"
+#include "bench/placementrig.h"
 
 #include "placement/placementclient.h"
 #include "placement/placementserver.h"
--- a/tests/bench/placementsimulationtest.cpp
+++ b/tests/bench/placementsimulationtest.cpp
@@ -1,5 +1,5 @@
-#include "bench/placementsimulation.h"
 #include "bench/benchcommand.h"
+#include "bench/placementrig.h"
 
 #include <catch2/catch.hpp>
 
