--- a/tests/bench/placementsimulationtest.cpp
+++ b/tests/bench/placementrigtest.cpp
@@ -1,5 +1,5 @@
-#include "bench/benchcommand.h"
 #include "bench/placementrig.h"
+#include "bench/benchcommand.h"
 
 #include <catch2/catch.hpp>
 
