--- a/src/bench/placementload.cpp
+++ b/src/bench/placementload.cpp
@@ -21,7 +21,7 @@
 /// The worth of a request is a fixed share plus a share in proportion to its size, limited to a multiple of the mean worth. In the size
 /// an answer token counts as much as ten prompt tokens.
 constexpr double FixedWorthRatio = 0.3;
-constexpr double MaxRelativeSize = 4;
+constexpr double MaxRelativeWorth = 4;
 constexpr double PromptTokensPerAnswerToken = 10;
 /// Quantiles of the answer length that a caller states, as a factor of the true length.
 const std::vector<double> LengthHintFactors{0.3, 0.6, 0.8, 1, 1.25, 1.6, 3};
@@ -183,7 +183,7 @@
     request.expectedAnswer = std::max(1U, static_cast<std::uint32_t>(request.answer * random.fromQuantiles(LengthHintFactors)));
     const double size = request.prompt + PromptTokensPerAnswerToken * request.answer;
     const double meanSize = meanOf(route.prompt) + PromptTokensPerAnswerToken * meanOf(route.answer);
-    request.worth = route.worth * std::min(FixedWorthRatio + (1 - FixedWorthRatio) * size / meanSize, MaxRelativeSize);
+    request.worth = route.worth * std::min(FixedWorthRatio + (1 - FixedWorthRatio) * size / meanSize, MaxRelativeWorth);
     return request;
 }
 
