--- a/tests/process/callerinputtest.cpp
+++ b/tests/process/callerinputtest.cpp
@@ -1,5 +1,5 @@
-#include "support/office.h"
 #include "support/rawconnection.h"
+#include "support/testdeployment.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/process/figurestest.cpp
+++ b/tests/process/figurestest.cpp
@@ -1,4 +1,4 @@
-#include "support/office.h"
+#include "support/testdeployment.h"
 
 #include <catch2/catch.hpp>
 
