--- a/src/entry/upstreamattempt.cpp
+++ b/src/entry/upstreamattempt.cpp
@@ -54,10 +54,9 @@
 AttemptCounters::AttemptCounters(Metrics &metrics)
     : resumes(metrics.counter("cumindyke_stream_resumes_total", "New connections made to continue a stream"))
     , mismatchedAnswers(metrics.counter("cumindyke_wrong_answers_total", "Answers dropped because they carried another request's id"))
-    , duplicateEvents(
-          metrics.counter("cumindyke_duplicate_events_total", "Events of resumed streams that were dropped because they had been forwarded already"))
-    , cancels(metrics.counter("cumindyke_stream_cancels_total", "Streams cancelled at the upstream because the caller disconnected"))
-    , pauses(metrics.counter("cumindyke_paused_streams_total", "Times that reading from an upstream was paused because its caller reads slowly"))
+    , duplicateEvents(metrics.counter("cumindyke_duplicate_events_total", "Events of resumed streams that were dropped as already handed on"))
+    , cancels(metrics.counter("cumindyke_stream_cancels_total", "Streams cancelled at the upstream because the caller left"))
+    , pauses(metrics.counter("cumindyke_paused_streams_total", "Times an upstream was not read because its caller reads slowly"))
 {
 }
 
--- a/src/entry/versiontraffic.cpp
+++ b/src/entry/versiontraffic.cpp
@@ -49,7 +49,7 @@
         return;
     }
     known->second = move.state;
-    m_metrics.counter("cumindyke_move_states_total", "State changes of moves", {{"service", move.service.value}, {"state", toString(move.state)}}).add();
+    m_metrics.counter("cumindyke_move_states_total", "States that moves came into", {{"service", move.service.value}, {"state", toString(move.state)}}).add();
     std::string change = std::string("move-") + toString(move.state);
     std::ranges::replace(change, ' ', '-');
     logChange("move", change, {{"move", move.name.value}, {"from", move.from.value}, {"to", move.to.value}, {"reason", move.reason}});
