--- a/tests/control/moveprocesstest.cpp
+++ b/tests/control/moveprocesstest.cpp
@@ -30,7 +30,7 @@
         }
     }
 
-    Office &office()
+    TestDeployment &office()
     {
         return m_office;
     }
@@ -87,7 +87,7 @@
     TemporaryFolder m_folder;
     TestNetwork m_network;
     FakeUpstreamProcess m_new;
-    Office m_office;
+    TestDeployment m_office;
     std::atomic<int> m_wrong = 0;
     std::vector<std::jthread> m_callers;
 };
--- a/tests/golden/threevmstest.cpp
+++ b/tests/golden/threevmstest.cpp
@@ -24,7 +24,7 @@
 }
 
 /// Returns the index of the daemon that is the control leader.
-std::size_t leaderOf(Office &office)
+std::size_t leaderOf(TestDeployment &office)
 {
     std::smatch match;
     const std::string members = membersOf(office.daemon());
@@ -43,7 +43,7 @@
 // crash of the leader, a change and a request without it, its restart, and a snapshot that is restored as a new revision.
 TEST_CASE("a session with three VMs whose leader is killed matches the recording")
 {
-    Office office(OfficeOptions{.vms = 3, .replicas = 3});
+    TestDeployment office(OfficeOptions{.vms = 3, .replicas = 3});
     REQUIRE(eventually([&office] { return areAllLive(office.daemon()); }));
     const TemporaryFolder saved;
     const std::string declaredToml = contentOf(office.declarations() + "/office.toml");
--- a/tests/process/callerinputtest.cpp
+++ b/tests/process/callerinputtest.cpp
@@ -19,7 +19,7 @@
 }
 
 /// The daemon answers 4xx to all of them, runs none, and serves the next caller.
-void checkRefused(const Office &office, const std::string &bytes)
+void checkRefused(const TestDeployment &office, const std::string &bytes)
 {
     RawConnection connection(office.daemonAddress());
     connection.send(bytes);
@@ -32,7 +32,7 @@
 
 TEST_CASE("wrong requests get a clear refusal and nothing runs")
 {
-    Office office;
+    TestDeployment office;
     const std::string deep(2'000'000, '[');
     for (const std::string &body : {
              std::string(),
@@ -64,7 +64,7 @@
 
 TEST_CASE("pipelined requests are answered whole and in order")
 {
-    Office office;
+    TestDeployment office;
     RawConnection connection(office.daemonAddress());
     connection.send(completion(draftBody("first", 3)) + completion(draftBody("second", 3), "Connection: close\r\n"));
     const std::string answers = connection.readAll();
@@ -78,7 +78,7 @@
 // engine, and the answer ends.
 TEST_CASE("a half-closed connection counts as the caller's departure")
 {
-    Office office;
+    TestDeployment office;
     RawConnection connection(office.daemonAddress());
     connection.send(completion(draftBody("long", 10'000)));
     connection.readUntil("data: ");
@@ -92,7 +92,7 @@
 TEST_CASE("a caller that reads slowly holds its upstream back and loses nothing")
 {
     constexpr int Tokens = 40'000;
-    Office office(OfficeOptions{.upstreamArguments = {"--step-ms", "0"}});
+    TestDeployment office(OfficeOptions{.upstreamArguments = {"--step-ms", "0"}});
     RawConnection connection(office.daemonAddress(), 4096);
     connection.send(completion(draftBody("long", Tokens), "Connection: close\r\n"));
     REQUIRE(eventually([&office] { return office.metrics().find("cumindyke_paused_streams_total 0") == std::string::npos; }));
@@ -106,7 +106,7 @@
 // so libevent's timeout, which starts anew with each byte, never passes; the limit on the whole request does.
 TEST_CASE("a caller that sends a request byte by byte for too long is cut off")
 {
-    Office office(OfficeOptions{.moreSettings = "request_read_limit_ms = 300\n"});
+    TestDeployment office(OfficeOptions{.moreSettings = "request_read_limit_ms = 300\n"});
     RawConnection slow(office.daemonAddress());
     REQUIRE(slow.send("POST /v1/completions HTTP/1.1\r\nX-Slow: "));
     CHECK(eventually([&slow] { return !slow.send("x"); }));
--- a/tests/process/keyedrequeststest.cpp
+++ b/tests/process/keyedrequeststest.cpp
@@ -13,7 +13,7 @@
 // end, and the booking service runs once.
 TEST_CASE("all sendings of one deposit get one answer and it runs once")
 {
-    Office office;
+    TestDeployment office;
     office.booking().faults(R"({"plain_delay_ms":500})");
     std::vector<std::future<HttpAnswer>> answers;
     for (int i = 0; i < 10; ++i) {
@@ -38,7 +38,7 @@
 
 TEST_CASE("a key used with another payload is refused and nothing runs for it")
 {
-    Office office;
+    TestDeployment office;
     REQUIRE(office.deposit("deposit-7", "hall=3").status == 200);
     const HttpAnswer other = office.deposit("deposit-7", "hall=4");
     CHECK(other.status == 409);
@@ -50,7 +50,7 @@
 // whether it was paid. A second run might pay twice.
 TEST_CASE("a deposit whose service dies is unknown for every sending and runs once")
 {
-    Office office(OfficeOptions{.bookingUpstreams = 2});
+    TestDeployment office(OfficeOptions{.bookingUpstreams = 2});
     office.booking(0).faults(R"({"plain_delay_ms":20000})");
     office.booking(1).faults(R"({"plain_delay_ms":20000})");
     std::future<HttpAnswer> first = std::async(std::launch::async, [&office] { return office.deposit("deposit-7", "hall=3"); });
@@ -70,7 +70,7 @@
 // The caller that left finds its receipt when it comes back: a deposit that went out runs to its end without its caller.
 TEST_CASE("a deposit whose caller left is answered to the next sending")
 {
-    Office office;
+    TestDeployment office;
     office.booking().faults(R"({"plain_delay_ms":600})");
     HeaderList headers = OfficeKey;
     headers.emplace_back("Idempotency-Key", "deposit-7");
@@ -107,7 +107,7 @@
 // saved; in neither case does the deposit run again. The claim is in the log and outlives the process.
 TEST_CASE("a daemon killed while a deposit runs never lets it run again")
 {
-    Office office;
+    TestDeployment office;
     office.booking().faults(R"({"plain_delay_ms":3000})");
     std::future<HttpAnswer> first = std::async(std::launch::async, [&office] { return office.deposit("deposit-7", "hall=3"); });
     REQUIRE(eventually([&office] { return countOf(office.booking().log(), "run") == 1; }));
@@ -128,7 +128,7 @@
 // its end, a second SIGTERM does not shorten it, and a new request is refused unrun.
 TEST_CASE("a graceful shutdown ends no request early")
 {
-    Office office(OfficeOptions{.slots = 2, .upstreamArguments = {"--step-ms", "20"}});
+    TestDeployment office(OfficeOptions{.slots = 2, .upstreamArguments = {"--step-ms", "20"}});
     std::vector<std::future<HttpAnswer>> answers;
     for (int i = 0; i < 6; ++i) {
         answers.push_back(std::async(std::launch::async, [&office, i] { return office.draft("notice " + std::to_string(i), 20); }));
@@ -154,7 +154,7 @@
 // log and join the holder's run over the peers' channel.
 TEST_CASE("sendings at several VMs join one run")
 {
-    Office office(OfficeOptions{.vms = 3});
+    TestDeployment office(OfficeOptions{.vms = 3});
     office.booking().faults(R"({"plain_delay_ms":700})");
     std::vector<std::future<HttpAnswer>> answers;
     for (std::size_t i = 0; i < 9; ++i) {
@@ -178,7 +178,7 @@
 // is killed while the deposit runs: its claim outlives it in the log, and nobody else knows how the run ended.
 TEST_CASE("a deposit whose entry VM dies is unknown at the other VMs and runs once")
 {
-    Office office(OfficeOptions{.vms = 3});
+    TestDeployment office(OfficeOptions{.vms = 3});
     office.booking().faults(R"({"plain_delay_ms":2000})");
     std::future<HttpAnswer> first = std::async(std::launch::async, [&office] { return office.deposit("deposit-7", "hall=3", 1); });
     REQUIRE(eventually([&office] { return countOf(office.booking().log(), "run") == 1; }));
--- a/tests/process/wholeanswerstest.cpp
+++ b/tests/process/wholeanswerstest.cpp
@@ -20,7 +20,7 @@
 // by id and offset on a new connection, and the engine runs the request once.
 TEST_CASE("a stream whose connection is cut again and again arrives whole and ran once")
 {
-    Office office;
+    TestDeployment office;
     office.drafting().faults(R"({"cut_after":3})");
     const HttpAnswer answer = office.draft(Prompt, 10);
     CHECK(answer.status == 200);
@@ -35,7 +35,7 @@
 // progress timeout ends it and a new connection continues. Without the timeout the caller would wait for ever.
 TEST_CASE("a stream whose connection goes silent arrives whole and ran once")
 {
-    Office office;
+    TestDeployment office;
     office.drafting().faults(R"({"silent_after":4})");
     const StreamedText text = streamedText(office.draft(Prompt, 6).body);
     CHECK(text.whole);
@@ -47,7 +47,7 @@
 // fetches its own by id. Passing it on would show a family another family's guest list.
 TEST_CASE("crossed answers reach nobody and each caller gets its own")
 {
-    Office office;
+    TestDeployment office;
     office.drafting().faults(R"({"crossed":true})");
     std::vector<std::future<HttpAnswer>> answers;
     for (int i = 0; i < 8; ++i) {
@@ -66,7 +66,7 @@
 // between two tokens; resumes are refused, and the request is not sent to the other engine, because it ran.
 TEST_CASE("an engine killed in the middle of a stream leaves a typed end and no second run")
 {
-    Office office(OfficeOptions{.draftingUpstreams = 2, .upstreamArguments = {"--step-ms", "50"}});
+    TestDeployment office(OfficeOptions{.draftingUpstreams = 2, .upstreamArguments = {"--step-ms", "50"}});
     std::future<HttpAnswer> answer = std::async(std::launch::async, [&office] { return office.draft(Prompt, 200); });
     const auto running = [&office](std::size_t index) { return countOf(office.drafting(index).log(), "run") == 1; };
     REQUIRE(eventually([&running] { return running(0) || running(1); }));
@@ -86,7 +86,7 @@
 // shows the cancellation long before the last of the ten thousand tokens.
 TEST_CASE("a caller that leaves has its stream cancelled at the engine")
 {
-    Office office;
+    TestDeployment office;
     EventLoop loop;
     // Ten thousand tokens take longer than the service's default deadline, so the request brings its own.
     HeaderList headers = OfficeKey;
@@ -118,7 +118,7 @@
 // The caller gets its answer from the other engine. One engine refuses unrun, which is the proof that lets the daemon try elsewhere.
 TEST_CASE("a refusal that names itself unrun is followed by another upstream")
 {
-    Office office(OfficeOptions{.draftingUpstreams = 2});
+    TestDeployment office(OfficeOptions{.draftingUpstreams = 2});
     office.drafting(0).faults(R"({"refuse":true})");
     for (int i = 0; i < 6; ++i) {
         const StreamedText text = streamedText(office.draft(Prompt, 3).body);
--- a/tests/support/testdeployment.cpp
+++ b/tests/support/testdeployment.cpp
@@ -50,7 +50,7 @@
 
 }
 
-Office::Office(const OfficeOptions &options)
+TestDeployment::TestDeployment(const OfficeOptions &options)
 {
     std::string declared = Declared + options.moreDeclarations;
     int host = 11;
@@ -74,7 +74,7 @@
     }
 }
 
-void Office::startDaemons(const OfficeOptions &options)
+void TestDeployment::startDaemons(const OfficeOptions &options)
 {
     const auto nameOf = [](int vm) { return "vm-" + std::to_string(vm); };
     std::string replicas;
@@ -92,21 +92,21 @@
     }
 }
 
-HttpAnswer Office::draft(const std::string &prompt, int tokens, const HeaderList &more, std::size_t vm) const
+HttpAnswer TestDeployment::draft(const std::string &prompt, int tokens, const HeaderList &more, std::size_t vm) const
 {
     HeaderList headers = OfficeKey;
     headers.insert(headers.end(), more.begin(), more.end());
     return http(m_daemons.at(vm)->http(), "POST", "/v1/completions", headers, draftBody(prompt, tokens));
 }
 
-HttpAnswer Office::deposit(const std::string &key, const std::string &body, std::size_t vm) const
+HttpAnswer TestDeployment::deposit(const std::string &key, const std::string &body, std::size_t vm) const
 {
     HeaderList headers = OfficeKey;
     headers.emplace_back("Idempotency-Key", key);
     return http(m_daemons.at(vm)->http(), "POST", "/services/booking/deposits", headers, body);
 }
 
-std::string Office::metrics(std::size_t vm) const
+std::string TestDeployment::metrics(std::size_t vm) const
 {
     return http(m_daemons.at(vm)->http(), "GET", "/metrics").body;
 }
@@ -139,7 +139,7 @@
     };
 }
 
-std::string Office::history() const
+std::string TestDeployment::history() const
 {
     std::string lines;
     for (std::size_t vm = 1; vm <= m_daemons.size(); ++vm) {
--- a/tests/support/testdeployment.h
+++ b/tests/support/testdeployment.h
@@ -28,10 +28,10 @@
 };
 
 /// A small office on real processes: daemons, drafting engines and booking services, declared and ready.
-class Office
+class TestDeployment
 {
 public:
-    explicit Office(const OfficeOptions &options = {});
+    explicit TestDeployment(const OfficeOptions &options = {});
 
     DaemonProcess &daemon(std::size_t index = 0)
     {
