--- a/tests/control/moveprocesstest.cpp
+++ b/tests/control/moveprocesstest.cpp
@@ -19,11 +19,11 @@
 public:
     MovingOffice()
         : m_new(m_folder, "drafting-new", m_network.host(21), {"--step-ms", "2", "--version", "v2"})
-        , m_office(
-              OfficeOptions{.upstreamArguments = {"--step-ms", "2"},
-                            .moreDeclarations = "[[upstream]]\nname = \"drafting-new\"\nservice = \"drafting\"\nversion = \"v2\"\ndata_centre = \"local\"\n"
-                                                "slots = 16\naddress = \""
-                                + toString(m_new.address()) + "\"\n"})
+        , m_office(TestDeploymentOptions{.upstreamArguments = {"--step-ms", "2"},
+                                         .moreDeclarations
+                                         = "[[upstream]]\nname = \"drafting-new\"\nservice = \"drafting\"\nversion = \"v2\"\ndata_centre = \"local\"\n"
+                                           "slots = 16\naddress = \""
+                                             + toString(m_new.address()) + "\"\n"})
     {
         for (int i = 0; i < Callers; ++i) {
             m_callers.emplace_back([this](const std::stop_token &stop) { call(stop); });
--- a/tests/golden/threevmstest.cpp
+++ b/tests/golden/threevmstest.cpp
@@ -43,7 +43,7 @@
 // crash of the leader, a change and a request without it, its restart, and a snapshot that is restored as a new revision.
 TEST_CASE("a session with three VMs whose leader is killed matches the recording")
 {
-    TestDeployment office(OfficeOptions{.vms = 3, .replicas = 3});
+    TestDeployment office(TestDeploymentOptions{.vms = 3, .replicas = 3});
     REQUIRE(eventually([&office] { return areAllLive(office.daemon()); }));
     const TemporaryFolder saved;
     const std::string declaredToml = contentOf(office.declarations() + "/office.toml");
--- a/tests/process/callerinputtest.cpp
+++ b/tests/process/callerinputtest.cpp
@@ -92,7 +92,7 @@
 TEST_CASE("a caller that reads slowly holds its upstream back and loses nothing")
 {
     constexpr int Tokens = 40'000;
-    TestDeployment office(OfficeOptions{.upstreamArguments = {"--step-ms", "0"}});
+    TestDeployment office(TestDeploymentOptions{.upstreamArguments = {"--step-ms", "0"}});
     RawConnection connection(office.daemonAddress(), 4096);
     connection.send(completion(draftBody("long", Tokens), "Connection: close\r\n"));
     REQUIRE(eventually([&office] { return office.metrics().find("cumindyke_paused_streams_total 0") == std::string::npos; }));
@@ -106,7 +106,7 @@
 // so libevent's timeout, which starts anew with each byte, never passes; the limit on the whole request does.
 TEST_CASE("a caller that sends a request byte by byte for too long is cut off")
 {
-    TestDeployment office(OfficeOptions{.moreSettings = "request_read_limit_ms = 300\n"});
+    TestDeployment office(TestDeploymentOptions{.moreSettings = "request_read_limit_ms = 300\n"});
     RawConnection slow(office.daemonAddress());
     REQUIRE(slow.send("POST /v1/completions HTTP/1.1\r\nX-Slow: "));
     CHECK(eventually([&slow] { return !slow.send("x"); }));
--- a/tests/process/failurestest.cpp
+++ b/tests/process/failurestest.cpp
@@ -48,7 +48,7 @@
 // deadline arrives at once, the lower tier first; the queue lets the higher tier out first, so what is refused is of the lower tier.
 TEST_CASE("a burst of three times capacity sheds truly and in the order of the tiers")
 {
-    TestDeployment office(OfficeOptions{.draftingUpstreams = 2, .slots = 2, .upstreamArguments = {"--step-ms", "20"}});
+    TestDeployment office(TestDeploymentOptions{.draftingUpstreams = 2, .slots = 2, .upstreamArguments = {"--step-ms", "20"}});
     Pending pending;
     for (int i = 0; i < 32; ++i) {
         draftLater(pending, office, "routine " + std::to_string(i), 30, headersFor("routine", 5000));
@@ -65,7 +65,7 @@
 // Callers see whole answers, some later. One engine runs at half speed; nothing is sent twice for it.
 TEST_CASE("an engine at half speed delays answers and nothing else")
 {
-    TestDeployment office(OfficeOptions{.draftingUpstreams = 2, .slots = 4});
+    TestDeployment office(TestDeploymentOptions{.draftingUpstreams = 2, .slots = 4});
     office.drafting(0).faults(R"({"slowness":2})");
     Pending pending;
     for (int i = 0; i < 24; ++i) {
@@ -80,7 +80,7 @@
 // waited never reaches an engine, and nobody takes over what ran, since that could run it twice.
 TEST_CASE("an entry VM killed while requests wait and run loses only its own callers' answers")
 {
-    TestDeployment office(OfficeOptions{.draftingUpstreams = 2, .slots = 2, .vms = 3, .upstreamArguments = {"--step-ms", "20"}});
+    TestDeployment office(TestDeploymentOptions{.draftingUpstreams = 2, .slots = 2, .vms = 3, .upstreamArguments = {"--step-ms", "20"}});
     Pending pending;
     for (int i = 0; i < 24; ++i) {
         draftLater(pending, office, "programme " + std::to_string(i), 30, {}, static_cast<std::size_t>(i % 3));
@@ -102,7 +102,7 @@
 // service that took it is killed; the other booking service stands by and must never see the deposit.
 TEST_CASE("a storm of resends of one deposit while its service dies runs it once")
 {
-    TestDeployment office(OfficeOptions{.bookingUpstreams = 2, .vms = 3});
+    TestDeployment office(TestDeploymentOptions{.bookingUpstreams = 2, .vms = 3});
     office.booking(0).faults(R"({"plain_delay_ms":1000})");
     office.booking(1).faults(R"({"plain_delay_ms":1000})");
     Pending pending;
@@ -125,7 +125,7 @@
 // balancer and go to another VM when one says "not run".
 TEST_CASE("a rolling restart under load cuts no request")
 {
-    TestDeployment office(OfficeOptions{.draftingUpstreams = 2, .slots = 8, .vms = 3});
+    TestDeployment office(TestDeploymentOptions{.draftingUpstreams = 2, .slots = 8, .vms = 3});
     std::atomic<bool> over = false;
     std::vector<std::future<std::vector<CallerRecord>>> callers;
     for (std::size_t caller = 0; caller < 6; ++caller) {
--- a/tests/process/figurestest.cpp
+++ b/tests/process/figurestest.cpp
@@ -130,7 +130,7 @@
 
 TEST_CASE("figures: through the daemon against straight to the stand-in", "[.figures]")
 {
-    TestDeployment office(OfficeOptions{.slots = 256, .upstreamArguments = {"--step-ms", "1", "--max-batch", "256"}});
+    TestDeployment office(TestDeploymentOptions{.slots = 256, .upstreamArguments = {"--step-ms", "1", "--max-batch", "256"}});
     const UpstreamRequest draft{
         .address = office.daemonAddress(), .method = "POST", .target = "/v1/completions", .headers = OfficeKey, .body = draftBody("notice", 4)};
     const UpstreamRequest look{.address = office.daemonAddress(), .method = "GET", .target = "/services/booking/slots", .headers = OfficeKey};
@@ -153,12 +153,12 @@
 
 TEST_CASE("figures: memory of open streams", "[.figures]")
 {
-    TestDeployment office(OfficeOptions{.slots = 20'000, .upstreamArguments = {"--step-ms", "1000", "--max-batch", "20000"}});
+    TestDeployment office(TestDeploymentOptions{.slots = 20'000, .upstreamArguments = {"--step-ms", "1000", "--max-batch", "20000"}});
     holdOpen(office, "streaming", 9'000, 9'000);
 }
 
 TEST_CASE("figures: memory of waiting requests", "[.figures]")
 {
-    TestDeployment office(OfficeOptions{.slots = 1, .upstreamArguments = {"--step-ms", "1000"}});
+    TestDeployment office(TestDeploymentOptions{.slots = 1, .upstreamArguments = {"--step-ms", "1000"}});
     holdOpen(office, "waiting", 9'000, 1);
 }
--- a/tests/process/keyedrequeststest.cpp
+++ b/tests/process/keyedrequeststest.cpp
@@ -50,7 +50,7 @@
 // whether it was paid. A second run might pay twice.
 TEST_CASE("a deposit whose service dies is unknown for every sending and runs once")
 {
-    TestDeployment office(OfficeOptions{.bookingUpstreams = 2});
+    TestDeployment office(TestDeploymentOptions{.bookingUpstreams = 2});
     office.booking(0).faults(R"({"plain_delay_ms":20000})");
     office.booking(1).faults(R"({"plain_delay_ms":20000})");
     std::future<HttpAnswer> first = std::async(std::launch::async, [&office] { return office.deposit("deposit-7", "hall=3"); });
@@ -128,7 +128,7 @@
 // its end, a second SIGTERM does not shorten it, and a new request is refused unrun.
 TEST_CASE("a graceful shutdown ends no request early")
 {
-    TestDeployment office(OfficeOptions{.slots = 2, .upstreamArguments = {"--step-ms", "20"}});
+    TestDeployment office(TestDeploymentOptions{.slots = 2, .upstreamArguments = {"--step-ms", "20"}});
     std::vector<std::future<HttpAnswer>> answers;
     for (int i = 0; i < 6; ++i) {
         answers.push_back(std::async(std::launch::async, [&office, i] { return office.draft("notice " + std::to_string(i), 20); }));
@@ -154,7 +154,7 @@
 // log and join the holder's run over the peers' channel.
 TEST_CASE("sendings at several VMs join one run")
 {
-    TestDeployment office(OfficeOptions{.vms = 3});
+    TestDeployment office(TestDeploymentOptions{.vms = 3});
     office.booking().faults(R"({"plain_delay_ms":700})");
     std::vector<std::future<HttpAnswer>> answers;
     for (std::size_t i = 0; i < 9; ++i) {
@@ -178,7 +178,7 @@
 // is killed while the deposit runs: its claim outlives it in the log, and nobody else knows how the run ended.
 TEST_CASE("a deposit whose entry VM dies is unknown at the other VMs and runs once")
 {
-    TestDeployment office(OfficeOptions{.vms = 3});
+    TestDeployment office(TestDeploymentOptions{.vms = 3});
     office.booking().faults(R"({"plain_delay_ms":2000})");
     std::future<HttpAnswer> first = std::async(std::launch::async, [&office] { return office.deposit("deposit-7", "hall=3", 1); });
     REQUIRE(eventually([&office] { return countOf(office.booking().log(), "run") == 1; }));
--- a/tests/process/leavingtest.cpp
+++ b/tests/process/leavingtest.cpp
@@ -15,7 +15,7 @@
     const TemporaryFolder folder;
     const std::string list = folder.file("vms.json");
     writeFile(list, R"({"vms":[]})");
-    TestDeployment office(OfficeOptions{.draftingUpstreams = 2, .moreSettings = "platform_list = \"" + list + "\"\n"});
+    TestDeployment office(TestDeploymentOptions{.draftingUpstreams = 2, .moreSettings = "platform_list = \"" + list + "\"\n"});
     REQUIRE(streamedText(office.draft("before", 2).body).whole);
     writeFile(list, R"({"vms":[{"address":")" + office.drafting(0).address().host + R"(","state":"leaving"}]})");
     REQUIRE(eventually([&office] { return office.daemon().log().find("leaving-vms") != std::string::npos; }));
@@ -31,7 +31,7 @@
 // The caller's answer is cut by the declared limit, and the log says so: the only thing that shortens a graceful shutdown.
 TEST_CASE("a declared limit ends a graceful shutdown and is logged")
 {
-    TestDeployment office(OfficeOptions{.upstreamArguments = {"--step-ms", "1000"}, .moreSettings = "drain_limit_ms = 300\n"});
+    TestDeployment office(TestDeploymentOptions{.upstreamArguments = {"--step-ms", "1000"}, .moreSettings = "drain_limit_ms = 300\n"});
     std::thread caller([&office] { office.draft("long", 1000); });
     REQUIRE(eventually([&office] { return countOf(office.drafting().log(), "run") == 1; }));
     office.daemon().process().signal(SIGTERM);
--- a/tests/process/wholeanswerstest.cpp
+++ b/tests/process/wholeanswerstest.cpp
@@ -66,7 +66,7 @@
 // between two tokens; resumes are refused, and the request is not sent to the other engine, because it ran.
 TEST_CASE("an engine killed in the middle of a stream leaves a typed end and no second run")
 {
-    TestDeployment office(OfficeOptions{.draftingUpstreams = 2, .upstreamArguments = {"--step-ms", "50"}});
+    TestDeployment office(TestDeploymentOptions{.draftingUpstreams = 2, .upstreamArguments = {"--step-ms", "50"}});
     std::future<HttpAnswer> answer = std::async(std::launch::async, [&office] { return office.draft(Prompt, 200); });
     const auto running = [&office](std::size_t index) { return countOf(office.drafting(index).log(), "run") == 1; };
     REQUIRE(eventually([&running] { return running(0) || running(1); }));
@@ -118,7 +118,7 @@
 // The caller gets its answer from the other engine. One engine refuses unrun, which is the proof that lets the daemon try elsewhere.
 TEST_CASE("a refusal that names itself unrun is followed by another upstream")
 {
-    TestDeployment office(OfficeOptions{.draftingUpstreams = 2});
+    TestDeployment office(TestDeploymentOptions{.draftingUpstreams = 2});
     office.drafting(0).faults(R"({"refuse":true})");
     for (int i = 0; i < 6; ++i) {
         const StreamedText text = streamedText(office.draft(Prompt, 3).body);
--- a/tests/support/testdeployment.cpp
+++ b/tests/support/testdeployment.cpp
@@ -50,7 +50,7 @@
 
 }
 
-TestDeployment::TestDeployment(const OfficeOptions &options)
+TestDeployment::TestDeployment(const TestDeploymentOptions &options)
 {
     std::string declared = Declared + options.moreDeclarations;
     int host = 11;
@@ -74,7 +74,7 @@
     }
 }
 
-void TestDeployment::startDaemons(const OfficeOptions &options)
+void TestDeployment::startDaemons(const TestDeploymentOptions &options)
 {
     const auto nameOf = [](int vm) { return "vm-" + std::to_string(vm); };
     std::string replicas;
