--- a/tests/process/figurestest.cpp
+++ b/tests/process/figurestest.cpp
@@ -95,7 +95,7 @@
     const std::size_t before = residentBytes(office.daemon().process().pid());
     std::vector<std::unique_ptr<UpstreamCall>> calls;
     for (int i = 0; i < count; ++i) {
-        HeaderList headers = OfficeKey;
+        HeaderList headers = ApiKeyHeaders;
         headers.emplace_back("X-Cumindyke-Deadline-Ms", "600000");
         calls.push_back(std::make_unique<UpstreamCall>(loop,
                                                        UpstreamRequest{
@@ -132,8 +132,8 @@
 {
     TestDeployment office(TestDeploymentOptions{.slots = 256, .upstreamArguments = {"--step-ms", "1", "--max-batch", "256"}});
     const UpstreamRequest draft{
-        .address = office.daemonAddress(), .method = "POST", .target = "/v1/completions", .headers = OfficeKey, .body = draftBody("notice", 4)};
-    const UpstreamRequest look{.address = office.daemonAddress(), .method = "GET", .target = "/services/booking/slots", .headers = OfficeKey};
+        .address = office.daemonAddress(), .method = "POST", .target = "/v1/completions", .headers = ApiKeyHeaders, .body = draftBody("notice", 4)};
+    const UpstreamRequest look{.address = office.daemonAddress(), .method = "GET", .target = "/services/booking/slots", .headers = ApiKeyHeaders};
     UpstreamRequest straightDraft = draft;
     straightDraft.address = office.drafting().address();
     UpstreamRequest straightLook = look;
--- a/tests/process/keyedrequeststest.cpp
+++ b/tests/process/keyedrequeststest.cpp
@@ -72,7 +72,7 @@
 {
     TestDeployment office;
     office.booking().faults(R"({"plain_delay_ms":600})");
-    HeaderList headers = OfficeKey;
+    HeaderList headers = ApiKeyHeaders;
     headers.emplace_back("Idempotency-Key", "deposit-7");
     EventLoop loop;
     auto call = std::make_unique<UpstreamCall>(loop,
--- a/tests/process/wholeanswerstest.cpp
+++ b/tests/process/wholeanswerstest.cpp
@@ -89,7 +89,7 @@
     TestDeployment office;
     EventLoop loop;
     // Ten thousand tokens take longer than the service's default deadline, so the request brings its own.
-    HeaderList headers = OfficeKey;
+    HeaderList headers = ApiKeyHeaders;
     headers.emplace_back("X-Cumindyke-Deadline-Ms", "3600000");
     auto call = std::make_unique<UpstreamCall>(loop,
                                                UpstreamRequest{
--- a/tests/support/testdeployment.cpp
+++ b/tests/support/testdeployment.cpp
@@ -94,14 +94,14 @@
 
 HttpAnswer TestDeployment::draft(const std::string &prompt, int tokens, const HeaderList &more, std::size_t vm) const
 {
-    HeaderList headers = OfficeKey;
+    HeaderList headers = ApiKeyHeaders;
     headers.insert(headers.end(), more.begin(), more.end());
     return http(m_daemons.at(vm)->http(), "POST", "/v1/completions", headers, draftBody(prompt, tokens));
 }
 
 HttpAnswer TestDeployment::deposit(const std::string &key, const std::string &body, std::size_t vm) const
 {
-    HeaderList headers = OfficeKey;
+    HeaderList headers = ApiKeyHeaders;
     headers.emplace_back("Idempotency-Key", key);
     return http(m_daemons.at(vm)->http(), "POST", "/services/booking/deposits", headers, body);
 }
