--- a/tests/control/moveprocesstest.cpp
+++ b/tests/control/moveprocesstest.cpp
@@ -30,7 +30,7 @@
         }
     }
 
-    TestDeployment &office()
+    TestDeployment &deployment()
     {
         return m_office;
     }
@@ -103,7 +103,7 @@
     REQUIRE(eventually([&] { return countOf(moving.newEngine().log(), "run") > 20; }));
     moving.newEngine().faults(R"({"fail":true})");
     REQUIRE(moving.waitForState("MOVE_STATE_TAKEN_BACK"));
-    const Finished status = moving.office().daemon().ctl({"move", "status"});
+    const Finished status = moving.deployment().daemon().ctl({"move", "status"});
     CHECK(status.out.find("taken back") != std::string::npos);
     CHECK(status.out.find("answers fail") != std::string::npos);
     // The new engine gets no more requests: the ones in flight end, then the count of its runs stays the same.
@@ -113,9 +113,9 @@
         std::this_thread::sleep_for(std::chrono::seconds(1));
         return before == runs;
     }));
-    CHECK(moving.office().daemon().log().find("move-taken-back") != std::string::npos);
-    CHECK(moving.office().metrics().find("cumindyke_move_states_total{service=\"drafting\",state=\"taken back\"} 1") != std::string::npos);
-    CHECK(moving.office().daemon().ctl({"get"}).out.find("service drafting version v1") != std::string::npos);
+    CHECK(moving.deployment().daemon().log().find("move-taken-back") != std::string::npos);
+    CHECK(moving.deployment().metrics().find("cumindyke_move_states_total{service=\"drafting\",state=\"taken back\"} 1") != std::string::npos);
+    CHECK(moving.deployment().daemon().ctl({"get"}).out.find("service drafting version v1") != std::string::npos);
     CHECK(moving.wrongAnswers() == 0);
 }
 
@@ -126,15 +126,15 @@
     MovingOffice moving;
     moving.start("90s");
     REQUIRE(eventually([&] { return moving.move().value("share_permille", 0) > 0; }));
-    moving.office().daemon().process().signal(SIGKILL);
-    moving.office().daemon().process().wait();
-    moving.office().daemon().start();
+    moving.deployment().daemon().process().signal(SIGKILL);
+    moving.deployment().daemon().process().wait();
+    moving.deployment().daemon().start();
     const bool isDone = moving.waitForState("MOVE_STATE_DONE");
     INFO(moving.move().dump());
     REQUIRE(isDone);
     const nlohmann::json move = moving.move();
     CHECK(std::stoll(move["state_since_ms"].get<std::string>()) <= std::stoll(move["deadline_ms"].get<std::string>()));
-    CHECK(moving.office().daemon().ctl({"get"}).out.find("service drafting version v2") != std::string::npos);
-    CHECK(moving.office().daemon().ctl({"move", "status"}).out.find("done") != std::string::npos);
+    CHECK(moving.deployment().daemon().ctl({"get"}).out.find("service drafting version v2") != std::string::npos);
+    CHECK(moving.deployment().daemon().ctl({"move", "status"}).out.find("done") != std::string::npos);
     CHECK(moving.wrongAnswers() == 0);
 }
--- a/tests/golden/threevmstest.cpp
+++ b/tests/golden/threevmstest.cpp
@@ -24,10 +24,10 @@
 }
 
 /// Returns the index of the daemon that is the control leader.
-std::size_t leaderOf(TestDeployment &office)
+std::size_t leaderOf(TestDeployment &deployment)
 {
     std::smatch match;
-    const std::string members = membersOf(office.daemon());
+    const std::string members = membersOf(deployment.daemon());
     REQUIRE(std::regex_search(members, match, std::regex("vm-([0-9]+) [^\n]* leader")));
     return static_cast<std::size_t>(std::stoi(match[1])) - 1;
 }
@@ -43,32 +43,33 @@
 // crash of the leader, a change and a request without it, its restart, and a snapshot that is restored as a new revision.
 TEST_CASE("a session with three VMs whose leader is killed matches the recording")
 {
-    TestDeployment office(TestDeploymentOptions{.vms = 3, .replicas = 3});
-    REQUIRE(eventually([&office] { return areAllLive(office.daemon()); }));
+    TestDeployment deployment(TestDeploymentOptions{.vms = 3, .replicas = 3});
+    REQUIRE(eventually([&deployment] { return areAllLive(deployment.daemon()); }));
     const TemporaryFolder saved;
-    const std::string declaredToml = contentOf(office.declarations() + "/office.toml");
+    const std::string declaredToml = contentOf(deployment.declarations() + "/office.toml");
     Session session;
 
-    const std::size_t leader = leaderOf(office);
+    const std::size_t leader = leaderOf(deployment);
     const std::size_t second = (leader + 1) % 3;
     const std::size_t third = (leader + 2) % 3;
-    DaemonProcess &secondDaemon = office.daemon(second);
+    DaemonProcess &secondDaemon = deployment.daemon(second);
 
     session.note("snapshot save", secondDaemon.ctl({"snapshot", "save", saved.file("state")}));
-    writeFile(office.declarations() + "/zaria.toml", organisation("zaria"));
-    session.note("apply DIR --wait, with organisation zaria", secondDaemon.ctl({"apply", office.declarations(), "--wait", "--author", "ade"}));
-    writeFile(office.declarations() + "/jos.toml", organisation("jos"));
-    session.note("apply DIR, made against revision 1", office.daemon(third).ctl({"apply", office.declarations(), "--base-revision", "1", "--author", "bisi"}));
-    session.note("POST deposit", office.deposit("deposit-1", "hall=3", second));
-    session.note("POST deposit again, at another VM", office.deposit("deposit-1", "hall=3", third));
-    session.note("POST deposit with another payload", office.deposit("deposit-1", "hall=4", third));
+    writeFile(deployment.declarations() + "/zaria.toml", organisation("zaria"));
+    session.note("apply DIR --wait, with organisation zaria", secondDaemon.ctl({"apply", deployment.declarations(), "--wait", "--author", "ade"}));
+    writeFile(deployment.declarations() + "/jos.toml", organisation("jos"));
+    session.note("apply DIR, made against revision 1",
+                 deployment.daemon(third).ctl({"apply", deployment.declarations(), "--base-revision", "1", "--author", "bisi"}));
+    session.note("POST deposit", deployment.deposit("deposit-1", "hall=3", second));
+    session.note("POST deposit again, at another VM", deployment.deposit("deposit-1", "hall=3", third));
+    session.note("POST deposit with another payload", deployment.deposit("deposit-1", "hall=4", third));
 
-    office.daemon(leader).process().signal(SIGKILL);
-    office.daemon(leader).process().wait();
-    session.note("the leader is killed; apply DIR", secondDaemon.ctl({"apply", office.declarations(), "--author", "bisi"}));
+    deployment.daemon(leader).process().signal(SIGKILL);
+    deployment.daemon(leader).process().wait();
+    session.note("the leader is killed; apply DIR", secondDaemon.ctl({"apply", deployment.declarations(), "--author", "bisi"}));
     REQUIRE(secondDaemon.waitReady());
-    session.note("POST /v1/completions, without the leader", office.draft("Notice", 2, {}, second));
-    office.daemon(leader).start();
+    session.note("POST /v1/completions, without the leader", deployment.draft("Notice", 2, {}, second));
+    deployment.daemon(leader).start();
     REQUIRE(eventually([&secondDaemon] { return areAllLive(secondDaemon); }));
     session.note("snapshot restore", secondDaemon.ctl({"snapshot", "restore", saved.file("state")}));
     session.note("history", secondDaemon.ctl({"history"}));
--- a/tests/process/figurestest.cpp
+++ b/tests/process/figurestest.cpp
@@ -87,12 +87,12 @@
 }
 
 /// Opens streams and holds them; prints the daemon's memory for each.
-void holdOpen(TestDeployment &office, const std::string &name, int count, int awaitHeads)
+void holdOpen(TestDeployment &deployment, const std::string &name, int count, int awaitHeads)
 {
     EventLoop loop;
     int heads = 0;
     int failed = 0;
-    const std::size_t before = residentBytes(office.daemon().process().pid());
+    const std::size_t before = residentBytes(deployment.daemon().process().pid());
     std::vector<std::unique_ptr<UpstreamCall>> calls;
     for (int i = 0; i < count; ++i) {
         HeaderList headers = ApiKeyHeaders;
@@ -100,7 +100,7 @@
         calls.push_back(std::make_unique<UpstreamCall>(loop,
                                                        UpstreamRequest{
                                                            .id = {},
-                                                           .address = office.daemonAddress(),
+                                                           .address = deployment.daemonAddress(),
                                                            .method = "POST",
                                                            .target = "/v1/completions",
                                                            .headers = headers,
@@ -121,7 +121,7 @@
     Timer patience(loop, [&loop] { loop.stop(); });
     patience.startOnce(std::chrono::seconds(90));
     loop.run();
-    const std::size_t after = residentBytes(office.daemon().process().pid());
+    const std::size_t after = residentBytes(deployment.daemon().process().pid());
     std::cout << name << ": " << count << " sent, " << heads << " streaming, " << failed << " failed, "
               << (after - before) / 1024 / static_cast<std::size_t>(count) << " KiB each, daemon " << after / (1U << 20) << " MiB\n";
 }
@@ -130,14 +130,14 @@
 
 TEST_CASE("figures: through the daemon against straight to the stand-in", "[.figures]")
 {
-    TestDeployment office(TestDeploymentOptions{.slots = 256, .upstreamArguments = {"--step-ms", "1", "--max-batch", "256"}});
+    TestDeployment deployment(TestDeploymentOptions{.slots = 256, .upstreamArguments = {"--step-ms", "1", "--max-batch", "256"}});
     const UpstreamRequest draft{
-        .address = office.daemonAddress(), .method = "POST", .target = "/v1/completions", .headers = ApiKeyHeaders, .body = draftBody("notice", 4)};
-    const UpstreamRequest look{.address = office.daemonAddress(), .method = "GET", .target = "/services/booking/slots", .headers = ApiKeyHeaders};
+        .address = deployment.daemonAddress(), .method = "POST", .target = "/v1/completions", .headers = ApiKeyHeaders, .body = draftBody("notice", 4)};
+    const UpstreamRequest look{.address = deployment.daemonAddress(), .method = "GET", .target = "/services/booking/slots", .headers = ApiKeyHeaders};
     UpstreamRequest straightDraft = draft;
-    straightDraft.address = office.drafting().address();
+    straightDraft.address = deployment.drafting().address();
     UpstreamRequest straightLook = look;
-    straightLook.address = office.booking().address();
+    straightLook.address = deployment.booking().address();
     straightLook.target = "/slots";
     for (const int atOnce : {1, 16, 64}) {
         const std::string name = ", " + std::to_string(atOnce) + " at once";
@@ -153,12 +153,12 @@
 
 TEST_CASE("figures: memory of open streams", "[.figures]")
 {
-    TestDeployment office(TestDeploymentOptions{.slots = 20'000, .upstreamArguments = {"--step-ms", "1000", "--max-batch", "20000"}});
-    holdOpen(office, "streaming", 9'000, 9'000);
+    TestDeployment deployment(TestDeploymentOptions{.slots = 20'000, .upstreamArguments = {"--step-ms", "1000", "--max-batch", "20000"}});
+    holdOpen(deployment, "streaming", 9'000, 9'000);
 }
 
 TEST_CASE("figures: memory of waiting requests", "[.figures]")
 {
-    TestDeployment office(TestDeploymentOptions{.slots = 1, .upstreamArguments = {"--step-ms", "1000"}});
-    holdOpen(office, "waiting", 9'000, 1);
+    TestDeployment deployment(TestDeploymentOptions{.slots = 1, .upstreamArguments = {"--step-ms", "1000"}});
+    holdOpen(deployment, "waiting", 9'000, 1);
 }
--- a/tests/process/keyedrequeststest.cpp
+++ b/tests/process/keyedrequeststest.cpp
@@ -13,11 +13,11 @@
 // end, and the booking service runs once.
 TEST_CASE("all sendings of one deposit get one answer and it runs once")
 {
-    TestDeployment office;
-    office.booking().faults(R"({"plain_delay_ms":500})");
+    TestDeployment deployment;
+    deployment.booking().faults(R"({"plain_delay_ms":500})");
     std::vector<std::future<HttpAnswer>> answers;
     for (int i = 0; i < 10; ++i) {
-        answers.push_back(std::async(std::launch::async, [&office] { return office.deposit("deposit-7", "hall=3"); }));
+        answers.push_back(std::async(std::launch::async, [&deployment] { return deployment.deposit("deposit-7", "hall=3"); }));
     }
     std::set<std::string> bodies;
     int replayed = 0;
@@ -28,57 +28,57 @@
         replayed += answer.header("Idempotent-Replayed") == "true" ? 1 : 0;
         bodies.insert(answer.body);
     }
-    const HttpAnswer later = office.deposit("deposit-7", "hall=3");
+    const HttpAnswer later = deployment.deposit("deposit-7", "hall=3");
     CHECK(later.header("Idempotent-Replayed") == "true");
     bodies.insert(later.body);
     CHECK(replayed == 9);
     CHECK(bodies.size() == 1);
-    CHECK(countOf(office.booking().log(), "run") == 1);
+    CHECK(countOf(deployment.booking().log(), "run") == 1);
 }
 
 TEST_CASE("a key used with another payload is refused and nothing runs for it")
 {
-    TestDeployment office;
-    REQUIRE(office.deposit("deposit-7", "hall=3").status == 200);
-    const HttpAnswer other = office.deposit("deposit-7", "hall=4");
+    TestDeployment deployment;
+    REQUIRE(deployment.deposit("deposit-7", "hall=3").status == 200);
+    const HttpAnswer other = deployment.deposit("deposit-7", "hall=4");
     CHECK(other.status == 409);
     CHECK(other.header("X-Cumindyke-Outcome") == "not-run");
-    CHECK(countOf(office.booking().log(), "run") == 1);
+    CHECK(countOf(deployment.booking().log(), "run") == 1);
 }
 
 // The first caller sees "unknown" and so does every later one: the service is killed after it took the deposit, so nobody can tell
 // whether it was paid. A second run might pay twice.
 TEST_CASE("a deposit whose service dies is unknown for every sending and runs once")
 {
-    TestDeployment office(TestDeploymentOptions{.bookingUpstreams = 2});
-    office.booking(0).faults(R"({"plain_delay_ms":20000})");
-    office.booking(1).faults(R"({"plain_delay_ms":20000})");
-    std::future<HttpAnswer> first = std::async(std::launch::async, [&office] { return office.deposit("deposit-7", "hall=3"); });
-    const auto ran = [&office](std::size_t index) { return countOf(office.booking(index).log(), "run") == 1; };
+    TestDeployment deployment(TestDeploymentOptions{.bookingUpstreams = 2});
+    deployment.booking(0).faults(R"({"plain_delay_ms":20000})");
+    deployment.booking(1).faults(R"({"plain_delay_ms":20000})");
+    std::future<HttpAnswer> first = std::async(std::launch::async, [&deployment] { return deployment.deposit("deposit-7", "hall=3"); });
+    const auto ran = [&deployment](std::size_t index) { return countOf(deployment.booking(index).log(), "run") == 1; };
     REQUIRE(eventually([&ran] { return ran(0) || ran(1); }));
     const std::size_t killed = ran(0) ? 0 : 1;
-    office.booking(killed).process().signal(SIGKILL);
+    deployment.booking(killed).process().signal(SIGKILL);
     const HttpAnswer answer = first.get();
     CHECK(answer.status == 502);
     CHECK(answer.header("X-Cumindyke-Outcome") == "unknown");
-    const HttpAnswer again = office.deposit("deposit-7", "hall=3");
+    const HttpAnswer again = deployment.deposit("deposit-7", "hall=3");
     CHECK(again.status == 502);
     CHECK(again.header("X-Cumindyke-Outcome") == "unknown");
-    CHECK(countOf(office.booking(1 - killed).log(), "run") == 0);
+    CHECK(countOf(deployment.booking(1 - killed).log(), "run") == 0);
 }
 
 // The caller that left finds its receipt when it comes back: a deposit that went out runs to its end without its caller.
 TEST_CASE("a deposit whose caller left is answered to the next sending")
 {
-    TestDeployment office;
-    office.booking().faults(R"({"plain_delay_ms":600})");
+    TestDeployment deployment;
+    deployment.booking().faults(R"({"plain_delay_ms":600})");
     HeaderList headers = ApiKeyHeaders;
     headers.emplace_back("Idempotency-Key", "deposit-7");
     EventLoop loop;
     auto call = std::make_unique<UpstreamCall>(loop,
                                                UpstreamRequest{
                                                    .id = {},
-                                                   .address = office.daemon().http(),
+                                                   .address = deployment.daemon().http(),
                                                    .method = "POST",
                                                    .target = "/services/booking/deposits",
                                                    .headers = headers,
@@ -86,8 +86,8 @@
                                                },
                                                ProgressTimeouts{});
     call->start();
-    Timer look(loop, [&office, &loop] {
-        if (countOf(office.booking().log(), "run") == 1) {
+    Timer look(loop, [&deployment, &loop] {
+        if (countOf(deployment.booking().log(), "run") == 1) {
             loop.stop();
         }
     });
@@ -97,47 +97,47 @@
     Timer rest(loop, [&loop] { loop.stop(); });
     rest.startOnce(std::chrono::milliseconds(1));
     loop.run();
-    const HttpAnswer answer = office.deposit("deposit-7", "hall=3");
+    const HttpAnswer answer = deployment.deposit("deposit-7", "hall=3");
     CHECK(answer.status == 200);
     CHECK(answer.header("Idempotent-Replayed") == "true");
-    CHECK(countOf(office.booking().log(), "run") == 1);
+    CHECK(countOf(deployment.booking().log(), "run") == 1);
 }
 
 // The caller that sends again after the daemon was killed hears "unknown" as long as the outcome is lost, or the answer if its end was
 // saved; in neither case does the deposit run again. The claim is in the log and outlives the process.
 TEST_CASE("a daemon killed while a deposit runs never lets it run again")
 {
-    TestDeployment office;
-    office.booking().faults(R"({"plain_delay_ms":3000})");
-    std::future<HttpAnswer> first = std::async(std::launch::async, [&office] { return office.deposit("deposit-7", "hall=3"); });
-    REQUIRE(eventually([&office] { return countOf(office.booking().log(), "run") == 1; }));
-    office.daemon().process().signal(SIGKILL);
-    office.daemon().process().wait();
+    TestDeployment deployment;
+    deployment.booking().faults(R"({"plain_delay_ms":3000})");
+    std::future<HttpAnswer> first = std::async(std::launch::async, [&deployment] { return deployment.deposit("deposit-7", "hall=3"); });
+    REQUIRE(eventually([&deployment] { return countOf(deployment.booking().log(), "run") == 1; }));
+    deployment.daemon().process().signal(SIGKILL);
+    deployment.daemon().process().wait();
     first.get();
-    office.daemon().start();
-    REQUIRE(office.daemon().waitReady());
+    deployment.daemon().start();
+    REQUIRE(deployment.daemon().waitReady());
     for (int i = 0; i < 3; ++i) {
-        const HttpAnswer again = office.deposit("deposit-7", "hall=3");
+        const HttpAnswer again = deployment.deposit("deposit-7", "hall=3");
         CHECK(again.status == 502);
         CHECK(again.header("X-Cumindyke-Outcome") == "unknown");
     }
-    CHECK(countOf(office.booking().log(), "run") == 1);
+    CHECK(countOf(deployment.booking().log(), "run") == 1);
 }
 
 // The callers see whole answers and the process ends by itself: SIGTERM makes the daemon unready at once, what waits and runs goes on to
 // its end, a second SIGTERM does not shorten it, and a new request is refused unrun.
 TEST_CASE("a graceful shutdown ends no request early")
 {
-    TestDeployment office(TestDeploymentOptions{.slots = 2, .upstreamArguments = {"--step-ms", "20"}});
+    TestDeployment deployment(TestDeploymentOptions{.slots = 2, .upstreamArguments = {"--step-ms", "20"}});
     std::vector<std::future<HttpAnswer>> answers;
     for (int i = 0; i < 6; ++i) {
-        answers.push_back(std::async(std::launch::async, [&office, i] { return office.draft("notice " + std::to_string(i), 20); }));
+        answers.push_back(std::async(std::launch::async, [&deployment, i] { return deployment.draft("notice " + std::to_string(i), 20); }));
     }
-    REQUIRE(eventually([&office] { return countOf(office.drafting().log(), "run") == 2; }));
-    office.daemon().process().signal(SIGTERM);
-    REQUIRE(eventually([&office] { return http(office.daemon().http(), "GET", "/readyz").status == 503; }));
-    office.daemon().process().signal(SIGTERM);
-    const HttpAnswer refused = office.draft("too late", 1);
+    REQUIRE(eventually([&deployment] { return countOf(deployment.drafting().log(), "run") == 2; }));
+    deployment.daemon().process().signal(SIGTERM);
+    REQUIRE(eventually([&deployment] { return http(deployment.daemon().http(), "GET", "/readyz").status == 503; }));
+    deployment.daemon().process().signal(SIGTERM);
+    const HttpAnswer refused = deployment.draft("too late", 1);
     CHECK(refused.status == 503);
     CHECK(refused.header("X-Cumindyke-Outcome") == "not-run");
     CHECK_FALSE(refused.header("Retry-After").empty());
@@ -146,19 +146,19 @@
         CHECK(text.whole);
         CHECK(text.text == expectedText("notice " + std::to_string(i), 20));
     }
-    CHECK(office.daemon().process().wait() == 0);
-    CHECK(countOf(office.drafting().log(), "run") == 6);
+    CHECK(deployment.daemon().process().wait() == 0);
+    CHECK(countOf(deployment.drafting().log(), "run") == 6);
 }
 
 // All callers see one receipt. Sendings of one deposit arrive at three VMs while it runs at one of them: the others find the claim in the
 // log and join the holder's run over the peers' channel.
 TEST_CASE("sendings at several VMs join one run")
 {
-    TestDeployment office(TestDeploymentOptions{.vms = 3});
-    office.booking().faults(R"({"plain_delay_ms":700})");
+    TestDeployment deployment(TestDeploymentOptions{.vms = 3});
+    deployment.booking().faults(R"({"plain_delay_ms":700})");
     std::vector<std::future<HttpAnswer>> answers;
     for (std::size_t i = 0; i < 9; ++i) {
-        answers.push_back(std::async(std::launch::async, [&office, i] { return office.deposit("deposit-7", "hall=3", i % office.vms()); }));
+        answers.push_back(std::async(std::launch::async, [&deployment, i] { return deployment.deposit("deposit-7", "hall=3", i % deployment.vms()); }));
     }
     std::set<std::string> bodies;
     for (std::future<HttpAnswer> &pending : answers) {
@@ -167,31 +167,31 @@
         CHECK(answer.header("X-Cumindyke-Outcome") == "ran");
         bodies.insert(answer.body);
     }
-    for (std::size_t vm = 0; vm < office.vms(); ++vm) {
-        bodies.insert(office.deposit("deposit-7", "hall=3", vm).body);
+    for (std::size_t vm = 0; vm < deployment.vms(); ++vm) {
+        bodies.insert(deployment.deposit("deposit-7", "hall=3", vm).body);
     }
     CHECK(bodies.size() == 1);
-    CHECK(countOf(office.booking().log(), "run") == 1);
+    CHECK(countOf(deployment.booking().log(), "run") == 1);
 }
 
 // The caller that turns to another VM hears "unknown", and after the holder's return still so; the deposit never runs again. The holder
 // is killed while the deposit runs: its claim outlives it in the log, and nobody else knows how the run ended.
 TEST_CASE("a deposit whose entry VM dies is unknown at the other VMs and runs once")
 {
-    TestDeployment office(TestDeploymentOptions{.vms = 3});
-    office.booking().faults(R"({"plain_delay_ms":2000})");
-    std::future<HttpAnswer> first = std::async(std::launch::async, [&office] { return office.deposit("deposit-7", "hall=3", 1); });
-    REQUIRE(eventually([&office] { return countOf(office.booking().log(), "run") == 1; }));
-    std::future<HttpAnswer> joined = std::async(std::launch::async, [&office] { return office.deposit("deposit-7", "hall=3", 2); });
-    office.daemon(1).process().signal(SIGKILL);
-    office.daemon(1).process().wait();
+    TestDeployment deployment(TestDeploymentOptions{.vms = 3});
+    deployment.booking().faults(R"({"plain_delay_ms":2000})");
+    std::future<HttpAnswer> first = std::async(std::launch::async, [&deployment] { return deployment.deposit("deposit-7", "hall=3", 1); });
+    REQUIRE(eventually([&deployment] { return countOf(deployment.booking().log(), "run") == 1; }));
+    std::future<HttpAnswer> joined = std::async(std::launch::async, [&deployment] { return deployment.deposit("deposit-7", "hall=3", 2); });
+    deployment.daemon(1).process().signal(SIGKILL);
+    deployment.daemon(1).process().wait();
     first.get();
     CHECK(joined.get().header("X-Cumindyke-Outcome") == "unknown");
-    CHECK(office.deposit("deposit-7", "hall=3", 0).header("X-Cumindyke-Outcome") == "unknown");
-    office.daemon(1).start();
-    REQUIRE(office.daemon(1).waitReady());
-    for (std::size_t vm = 0; vm < office.vms(); ++vm) {
-        CHECK(office.deposit("deposit-7", "hall=3", vm).header("X-Cumindyke-Outcome") == "unknown");
+    CHECK(deployment.deposit("deposit-7", "hall=3", 0).header("X-Cumindyke-Outcome") == "unknown");
+    deployment.daemon(1).start();
+    REQUIRE(deployment.daemon(1).waitReady());
+    for (std::size_t vm = 0; vm < deployment.vms(); ++vm) {
+        CHECK(deployment.deposit("deposit-7", "hall=3", vm).header("X-Cumindyke-Outcome") == "unknown");
     }
-    CHECK(countOf(office.booking().log(), "run") == 1);
+    CHECK(countOf(deployment.booking().log(), "run") == 1);
 }
--- a/tests/process/leavingtest.cpp
+++ b/tests/process/leavingtest.cpp
@@ -15,27 +15,27 @@
     const TemporaryFolder folder;
     const std::string list = folder.file("vms.json");
     writeFile(list, R"({"vms":[]})");
-    TestDeployment office(TestDeploymentOptions{.draftingUpstreams = 2, .moreSettings = "platform_list = \"" + list + "\"\n"});
-    REQUIRE(streamedText(office.draft("before", 2).body).whole);
-    writeFile(list, R"({"vms":[{"address":")" + office.drafting(0).address().host + R"(","state":"leaving"}]})");
-    REQUIRE(eventually([&office] { return office.daemon().log().find("leaving-vms") != std::string::npos; }));
+    TestDeployment deployment(TestDeploymentOptions{.draftingUpstreams = 2, .moreSettings = "platform_list = \"" + list + "\"\n"});
+    REQUIRE(streamedText(deployment.draft("before", 2).body).whole);
+    writeFile(list, R"({"vms":[{"address":")" + deployment.drafting(0).address().host + R"(","state":"leaving"}]})");
+    REQUIRE(eventually([&deployment] { return deployment.daemon().log().find("leaving-vms") != std::string::npos; }));
     writeFile(list, "{");
-    REQUIRE(eventually([&office] { return office.daemon().log().find("platform-list-unreadable") != std::string::npos; }));
-    const int before = countOf(office.drafting(0).log(), "run");
+    REQUIRE(eventually([&deployment] { return deployment.daemon().log().find("platform-list-unreadable") != std::string::npos; }));
+    const int before = countOf(deployment.drafting(0).log(), "run");
     for (int i = 0; i < 12; ++i) {
-        CHECK(streamedText(office.draft("after " + std::to_string(i), 2).body).whole);
+        CHECK(streamedText(deployment.draft("after " + std::to_string(i), 2).body).whole);
     }
-    CHECK(countOf(office.drafting(0).log(), "run") == before);
+    CHECK(countOf(deployment.drafting(0).log(), "run") == before);
 }
 
 // The caller's answer is cut by the declared limit, and the log says so: the only thing that shortens a graceful shutdown.
 TEST_CASE("a declared limit ends a graceful shutdown and is logged")
 {
-    TestDeployment office(TestDeploymentOptions{.upstreamArguments = {"--step-ms", "1000"}, .moreSettings = "drain_limit_ms = 300\n"});
-    std::thread caller([&office] { office.draft("long", 1000); });
-    REQUIRE(eventually([&office] { return countOf(office.drafting().log(), "run") == 1; }));
-    office.daemon().process().signal(SIGTERM);
-    office.daemon().process().wait();
+    TestDeployment deployment(TestDeploymentOptions{.upstreamArguments = {"--step-ms", "1000"}, .moreSettings = "drain_limit_ms = 300\n"});
+    std::thread caller([&deployment] { deployment.draft("long", 1000); });
+    REQUIRE(eventually([&deployment] { return countOf(deployment.drafting().log(), "run") == 1; }));
+    deployment.daemon().process().signal(SIGTERM);
+    deployment.daemon().process().wait();
     caller.join();
-    CHECK(office.daemon().log().find("drain-limit-passed") != std::string::npos);
+    CHECK(deployment.daemon().log().find("drain-limit-passed") != std::string::npos);
 }
--- a/tests/process/wholeanswerstest.cpp
+++ b/tests/process/wholeanswerstest.cpp
@@ -20,73 +20,73 @@
 // by id and offset on a new connection, and the engine runs the request once.
 TEST_CASE("a stream whose connection is cut again and again arrives whole and ran once")
 {
-    TestDeployment office;
-    office.drafting().faults(R"({"cut_after":3})");
-    const HttpAnswer answer = office.draft(Prompt, 10);
+    TestDeployment deployment;
+    deployment.drafting().faults(R"({"cut_after":3})");
+    const HttpAnswer answer = deployment.draft(Prompt, 10);
     CHECK(answer.status == 200);
     const StreamedText text = streamedText(answer.body);
     CHECK(text.whole);
     CHECK(text.text == expectedText(Prompt, 10));
-    CHECK(countOf(office.drafting().log(), "run") == 1);
-    CHECK(countOf(office.drafting().log(), "resume") >= 3);
+    CHECK(countOf(deployment.drafting().log(), "run") == 1);
+    CHECK(countOf(deployment.drafting().log(), "resume") >= 3);
 }
 
 // The caller sees a pause and then the rest. The connection goes silent for good after four tokens while the engine works on; the
 // progress timeout ends it and a new connection continues. Without the timeout the caller would wait for ever.
 TEST_CASE("a stream whose connection goes silent arrives whole and ran once")
 {
-    TestDeployment office;
-    office.drafting().faults(R"({"silent_after":4})");
-    const StreamedText text = streamedText(office.draft(Prompt, 6).body);
+    TestDeployment deployment;
+    deployment.drafting().faults(R"({"silent_after":4})");
+    const StreamedText text = streamedText(deployment.draft(Prompt, 6).body);
     CHECK(text.whole);
     CHECK(text.text == expectedText(Prompt, 6));
-    CHECK(countOf(office.drafting().log(), "run") == 1);
+    CHECK(countOf(deployment.drafting().log(), "run") == 1);
 }
 
 // Each caller sees its own answer. The upstream answers with another request's id; the daemon drops that answer unread, counts it and
 // fetches its own by id. Passing it on would show a family another family's guest list.
 TEST_CASE("crossed answers reach nobody and each caller gets its own")
 {
-    TestDeployment office;
-    office.drafting().faults(R"({"crossed":true})");
+    TestDeployment deployment;
+    deployment.drafting().faults(R"({"crossed":true})");
     std::vector<std::future<HttpAnswer>> answers;
     for (int i = 0; i < 8; ++i) {
-        answers.push_back(std::async(std::launch::async, [&office, i] { return office.draft("guest list " + std::to_string(i), 5); }));
+        answers.push_back(std::async(std::launch::async, [&deployment, i] { return deployment.draft("guest list " + std::to_string(i), 5); }));
     }
     for (int i = 0; i < 8; ++i) {
         const StreamedText text = streamedText(answers[static_cast<std::size_t>(i)].get().body);
         CHECK(text.whole);
         CHECK(text.text == expectedText("guest list " + std::to_string(i), 5));
     }
-    CHECK(countOf(office.drafting().log(), "run") == 8);
-    CHECK(office.metrics().find("cumindyke_wrong_answers_total 8") != std::string::npos);
+    CHECK(countOf(deployment.drafting().log(), "run") == 8);
+    CHECK(deployment.metrics().find("cumindyke_wrong_answers_total 8") != std::string::npos);
 }
 
 // The caller sees the beginning and then an error that says that the request ran in part, never an end marker. The engine is killed
 // between two tokens; resumes are refused, and the request is not sent to the other engine, because it ran.
 TEST_CASE("an engine killed in the middle of a stream leaves a typed end and no second run")
 {
-    TestDeployment office(TestDeploymentOptions{.draftingUpstreams = 2, .upstreamArguments = {"--step-ms", "50"}});
-    std::future<HttpAnswer> answer = std::async(std::launch::async, [&office] { return office.draft(Prompt, 200); });
-    const auto running = [&office](std::size_t index) { return countOf(office.drafting(index).log(), "run") == 1; };
+    TestDeployment deployment(TestDeploymentOptions{.draftingUpstreams = 2, .upstreamArguments = {"--step-ms", "50"}});
+    std::future<HttpAnswer> answer = std::async(std::launch::async, [&deployment] { return deployment.draft(Prompt, 200); });
+    const auto running = [&deployment](std::size_t index) { return countOf(deployment.drafting(index).log(), "run") == 1; };
     REQUIRE(eventually([&running] { return running(0) || running(1); }));
     const std::size_t killed = running(0) ? 0 : 1;
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
-    office.drafting(killed).process().signal(SIGKILL);
+    deployment.drafting(killed).process().signal(SIGKILL);
     const StreamedText text = streamedText(answer.get().body);
     CHECK_FALSE(text.whole);
     CHECK_FALSE(text.text.empty());
     CHECK(expectedText(Prompt, 200).starts_with(text.text));
     CHECK(text.error.find(R"("kind":"upstream-failed")") != std::string::npos);
     CHECK(text.error.find(R"("outcome":"ran")") != std::string::npos);
-    CHECK(countOf(office.drafting(1 - killed).log(), "run") == 0);
+    CHECK(countOf(deployment.drafting(1 - killed).log(), "run") == 0);
 }
 
 // The engine is told to stop when nobody waits any more: the caller closes its connection after the first token, and the engine's log
 // shows the cancellation long before the last of the ten thousand tokens.
 TEST_CASE("a caller that leaves has its stream cancelled at the engine")
 {
-    TestDeployment office;
+    TestDeployment deployment;
     EventLoop loop;
     // Ten thousand tokens take longer than the service's default deadline, so the request brings its own.
     HeaderList headers = ApiKeyHeaders;
@@ -94,7 +94,7 @@
     auto call = std::make_unique<UpstreamCall>(loop,
                                                UpstreamRequest{
                                                    .id = {},
-                                                   .address = office.daemon().http(),
+                                                   .address = deployment.daemon().http(),
                                                    .method = "POST",
                                                    .target = "/v1/completions",
                                                    .headers = headers,
@@ -111,20 +111,20 @@
     Timer rest(loop, [&loop] { loop.stop(); });
     rest.startOnce(std::chrono::milliseconds(1));
     loop.run();
-    CHECK(eventually([&office] { return countOf(office.drafting().log(), "cancel") == 1; }));
-    CHECK(office.metrics().find("cumindyke_stream_cancels_total 1") != std::string::npos);
+    CHECK(eventually([&deployment] { return countOf(deployment.drafting().log(), "cancel") == 1; }));
+    CHECK(deployment.metrics().find("cumindyke_stream_cancels_total 1") != std::string::npos);
 }
 
 // The caller gets its answer from the other engine. One engine refuses unrun, which is the proof that lets the daemon try elsewhere.
 TEST_CASE("a refusal that names itself unrun is followed by another upstream")
 {
-    TestDeployment office(TestDeploymentOptions{.draftingUpstreams = 2});
-    office.drafting(0).faults(R"({"refuse":true})");
+    TestDeployment deployment(TestDeploymentOptions{.draftingUpstreams = 2});
+    deployment.drafting(0).faults(R"({"refuse":true})");
     for (int i = 0; i < 6; ++i) {
-        const StreamedText text = streamedText(office.draft(Prompt, 3).body);
+        const StreamedText text = streamedText(deployment.draft(Prompt, 3).body);
         CHECK(text.whole);
         CHECK(text.text == expectedText(Prompt, 3));
     }
-    CHECK(countOf(office.drafting(0).log(), "run") == 0);
-    CHECK(countOf(office.drafting(1).log(), "run") == 6);
+    CHECK(countOf(deployment.drafting(0).log(), "run") == 0);
+    CHECK(countOf(deployment.drafting(1).log(), "run") == 6);
 }
