--- a/tests/cell/loadpollertest.cpp
+++ b/tests/cell/loadpollertest.cpp
@@ -50,7 +50,7 @@
         firstUnreachable = true;
     });
     Timer limit(loop, [&loop] { loop.stop(); });
-    limit.startOnce(Patience);
+    limit.startOnce(WaitTimeout);
     poller.setUpstreams(
         {Upstream{.name = UpstreamName{"first"}, .address = first.address()}, Upstream{.name = UpstreamName{"second"}, .address = second.address()}});
     loop.run();
@@ -77,7 +77,7 @@
         loop.stop();
     });
     Timer limit(loop, [&loop] { loop.stop(); });
-    limit.startOnce(Patience);
+    limit.startOnce(WaitTimeout);
     poller.setUpstreams({Upstream{.name = UpstreamName{"silent"}, .address = Address{network.host(11), valueOf(engine)->port()}}});
     loop.run();
     CHECK(reachable);
--- a/tests/control/clusterprocesstest.cpp
+++ b/tests/control/clusterprocesstest.cpp
@@ -78,11 +78,11 @@
     request.set_base_revision(1);
     *request.add_changes() = organisationChange(9);
     CHECK_FALSE(ok(OperatorClient(toString(lossy), std::chrono::seconds(2)).apply(request)));
-    const auto again = OperatorClient(cluster.daemon(3).rpc(), Patience).apply(request);
+    const auto again = OperatorClient(cluster.daemon(3).rpc(), WaitTimeout).apply(request);
     REQUIRE(ok(again));
     CHECK(valueOf(again).outcome() == v1::CommandReply::ACCEPTED);
     CHECK(valueOf(again).revision() == 2);
-    const auto history = OperatorClient(cluster.daemon(3).rpc(), Patience).history({});
+    const auto history = OperatorClient(cluster.daemon(3).rpc(), WaitTimeout).history({});
     REQUIRE(ok(history));
     CHECK(valueOf(history).entries_size() == 2);
 }
--- a/tests/control/orderrunnertest.cpp
+++ b/tests/control/orderrunnertest.cpp
@@ -43,7 +43,7 @@
     });
     tick.startEvery(std::chrono::milliseconds(20));
     Timer timeout(loop, [&loop] { loop.stop(); });
-    timeout.startOnce(Patience);
+    timeout.startOnce(WaitTimeout);
     loop.run();
 }
 
--- a/tests/measure/logmeasure.cpp
+++ b/tests/measure/logmeasure.cpp
@@ -72,7 +72,7 @@
     const auto start = Clock::now();
     for (std::size_t client = 0; client < clients; ++client) {
         threads.emplace_back([&server, &clientLatencies = latencies[client], client, clients, commandsPerClient] {
-            OperatorClient operatorClient(server, Patience);
+            OperatorClient operatorClient(server, WaitTimeout);
             for (int i = 0; i < commandsPerClient; ++i) {
                 v1::ApplyRequest request;
                 request.set_command_id("load-" + std::to_string(clients) + "-" + std::to_string(client) + "-" + std::to_string(i));
--- a/tests/process/figurestest.cpp
+++ b/tests/process/figurestest.cpp
@@ -97,16 +97,17 @@
     for (int i = 0; i < count; ++i) {
         HeaderList headers = ApiKeyHeaders;
         headers.emplace_back("X-Cumindyke-Deadline-Ms", "600000");
-        calls.push_back(std::make_unique<UpstreamCall>(loop,
-                                                       UpstreamRequest{
-                                                           .id = {},
-                                                           .address = deployment.daemonAddress(),
-                                                           .method = "POST",
-                                                           .target = "/v1/completions",
-                                                           .headers = headers,
-                                                           .body = draftBody("notice " + std::to_string(i), 1000),
-                                                       },
-                                                       ProgressTimeouts{.connect = Patience, .firstByte = 10 * Patience, .betweenBytes = 10 * Patience}));
+        calls.push_back(
+            std::make_unique<UpstreamCall>(loop,
+                                           UpstreamRequest{
+                                               .id = {},
+                                               .address = deployment.daemonAddress(),
+                                               .method = "POST",
+                                               .target = "/v1/completions",
+                                               .headers = headers,
+                                               .body = draftBody("notice " + std::to_string(i), 1000),
+                                           },
+                                           ProgressTimeouts{.connect = WaitTimeout, .firstByte = 10 * WaitTimeout, .betweenBytes = 10 * WaitTimeout}));
         calls.back()->head().connect([&heads](const AnswerHead &head) { heads += head.status == 200 ? 1 : 0; });
         calls.back()->failed().connect([&failed](CallFailure) { ++failed; });
         calls.back()->start();
--- a/tests/raft/processtest.cpp
+++ b/tests/raft/processtest.cpp
@@ -46,7 +46,7 @@
     v1::ApplyRequest resend;
     resend.set_command_id("change-1");
     REQUIRE(eventually([&] {
-        const auto again = OperatorClient(cluster.daemon(cluster.leader()).rpc(), Patience).apply(resend);
+        const auto again = OperatorClient(cluster.daemon(cluster.leader()).rpc(), WaitTimeout).apply(resend);
         return ok(again) && valueOf(again).revision() == revisions[0] && valueOf(again).outcome() == v1::CommandReply::ACCEPTED;
     }));
 }
--- a/tests/support/processes.cpp
+++ b/tests/support/processes.cpp
@@ -162,7 +162,7 @@
 {
     EventLoop loop;
     HttpAnswer answer;
-    const ProgressTimeouts timeouts{.connect = Patience, .firstByte = Patience, .betweenBytes = Patience};
+    const ProgressTimeouts timeouts{.connect = WaitTimeout, .firstByte = WaitTimeout, .betweenBytes = WaitTimeout};
     UpstreamRequest request{.id = {}, .address = address, .method = method, .target = target, .headers = {}, .body = body};
     for (const auto &[name, value] : headers) {
         if (name == "Host") {
--- a/tests/support/processes.h
+++ b/tests/support/processes.h
@@ -17,10 +17,10 @@
 {
 
 /// How long a condition is waited for. Generous: only a fault reaches it.
-constexpr std::chrono::seconds Patience{60};
+constexpr std::chrono::seconds WaitTimeout{60};
 
 /// Checks a condition until it holds; false when the patience is over.
-bool eventually(const std::function<bool()> &condition, std::chrono::seconds patience = Patience);
+bool eventually(const std::function<bool()> &condition, std::chrono::seconds patience = WaitTimeout);
 
 /// A folder that is removed at the end.
 class TemporaryFolder
--- a/tests/support/rawconnection.cpp
+++ b/tests/support/rawconnection.cpp
@@ -19,7 +19,7 @@
     if (receiveBufferBytes > 0) {
         setsockopt(m_socket, SOL_SOCKET, SO_RCVBUF, &receiveBufferBytes, sizeof receiveBufferBytes);
     }
-    const timeval patience{.tv_sec = Patience.count(), .tv_usec = 0};
+    const timeval patience{.tv_sec = WaitTimeout.count(), .tv_usec = 0};
     setsockopt(m_socket, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
     setsockopt(m_socket, SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
     sockaddr_in to{.sin_family = AF_INET, .sin_port = htons(address.port)};
