--- a/tests/control/clusterprocesstest.cpp
+++ b/tests/control/clusterprocesstest.cpp
@@ -22,7 +22,7 @@
     REQUIRE(eventually([&] { return !cluster.ready(4); }));
     CHECK(cluster.ready(1));
     CHECK(cluster.ready(3));
-    const Finished applied = cluster.apply(3, 2, {"--wait"});
+    const ProcessResult applied = cluster.apply(3, 2, {"--wait"});
     INFO(applied.out << applied.error);
     CHECK(applied.exitCode == 0);
     CHECK(applied.out.find("lapsed: vm-4") != std::string::npos);
@@ -56,10 +56,10 @@
     REQUIRE(cluster.waitAllReady());
     const auto applyAt = [&cluster](int vm, const char *author) { return cluster.apply(vm, vm + 2, {"--base-revision", "1", "--author", author}); };
     auto second = std::async(std::launch::async, applyAt, 2, "ade");
-    const Finished first = applyAt(3, "bisi");
-    const Finished other = second.get();
+    const ProcessResult first = applyAt(3, "bisi");
+    const ProcessResult other = second.get();
     CHECK(first.exitCode + other.exitCode == 3);
-    const Finished &lost = first.exitCode == 0 ? other : first;
+    const ProcessResult &lost = first.exitCode == 0 ? other : first;
     CHECK(lost.error.find(first.exitCode == 0 ? "by bisi" : "by ade") != std::string::npos);
     CHECK(eventually([&] { return cluster.revisionOn(1) == 2; }));
 }
@@ -97,7 +97,7 @@
     cluster.daemon(1).process().signal(SIGKILL);
     cluster.daemon(1).process().wait();
     REQUIRE(eventually([&] { return !cluster.ready(2) && !cluster.ready(3); }));
-    const Finished refused = cluster.apply(2, 2);
+    const ProcessResult refused = cluster.apply(2, 2);
     CHECK(refused.exitCode == 4);
     cluster.daemon(1).start();
     REQUIRE(cluster.waitAllReady());
--- a/tests/control/moveprocesstest.cpp
+++ b/tests/control/moveprocesstest.cpp
@@ -40,13 +40,13 @@
     }
     void start(const std::string &deadline)
     {
-        const Finished started = m_office.daemon().ctl({"move", "start", "drafting", "v2", "--deadline", deadline});
+        const ProcessResult started = m_office.daemon().ctl({"move", "start", "drafting", "v2", "--deadline", deadline});
         INFO(started.out << started.error);
         REQUIRE(started.exitCode == 0);
     }
     nlohmann::json move()
     {
-        const Finished status = m_office.daemon().ctl({"move", "status", "drafting", "--output", "json"});
+        const ProcessResult status = m_office.daemon().ctl({"move", "status", "drafting", "--output", "json"});
         const nlohmann::json json = nlohmann::json::parse(status.out, nullptr, false);
         return json.is_object() && json.contains("moves") && !json["moves"].empty() ? json["moves"][0] : nlohmann::json::object();
     }
@@ -103,7 +103,7 @@
     REQUIRE(eventually([&] { return countOf(moving.newEngine().log(), "run") > 20; }));
     moving.newEngine().faults(R"({"fail":true})");
     REQUIRE(moving.waitForState("MOVE_STATE_TAKEN_BACK"));
-    const Finished status = moving.deployment().daemon().ctl({"move", "status"});
+    const ProcessResult status = moving.deployment().daemon().ctl({"move", "status"});
     CHECK(status.out.find("taken back") != std::string::npos);
     CHECK(status.out.find("answers fail") != std::string::npos);
     // The new engine gets no more requests: the ones in flight end, then the count of its runs stays the same.
--- a/tests/control/operatortoolprocesstest.cpp
+++ b/tests/control/operatortoolprocesstest.cpp
@@ -12,7 +12,7 @@
     ProcessCluster cluster(3);
     REQUIRE(cluster.apply(1, 1, {"--wait"}).exitCode == 0);
     REQUIRE(cluster.waitAllReady());
-    const Finished shown = cluster.daemon(3).ctl({"members", "--output", "json"});
+    const ProcessResult shown = cluster.daemon(3).ctl({"members", "--output", "json"});
     REQUIRE(shown.exitCode == 0);
     const auto members = nlohmann::json::parse(shown.out)["members"];
     REQUIRE(members.size() == 3);
@@ -55,7 +55,7 @@
     REQUIRE(cluster.apply(1, 1, {"--wait"}).exitCode == 0);
     REQUIRE(cluster.daemon(2).ctl({"snapshot", "save", file}).exitCode == 0);
     REQUIRE(cluster.apply(1, 3, {"--wait"}).exitCode == 0);
-    const Finished restored = cluster.daemon(2).ctl({"snapshot", "restore", file});
+    const ProcessResult restored = cluster.daemon(2).ctl({"snapshot", "restore", file});
     CHECK(restored.exitCode == 0);
     CHECK(restored.out.find("accepted: revision 3") != std::string::npos);
     CHECK(eventually([&] { return cluster.revisionOn(2) == 3; }));
@@ -63,7 +63,7 @@
 
     ProcessCluster other(1);
     REQUIRE(other.apply(1, 2).exitCode == 0);
-    const Finished refused = other.daemon(1).ctl({"snapshot", "restore", file});
+    const ProcessResult refused = other.daemon(1).ctl({"snapshot", "restore", file});
     CHECK(refused.exitCode == 2);
     CHECK(refused.error.find("another history") != std::string::npos);
     CHECK(other.daemon(1).ctl({"snapshot", "restore", folder.file("none")}).exitCode != 0);
--- a/tests/control/processcluster.cpp
+++ b/tests/control/processcluster.cpp
@@ -75,7 +75,7 @@
     return toml;
 }
 
-Finished ProcessCluster::apply(int vm, int organisations, std::vector<std::string> extraArguments)
+ProcessResult ProcessCluster::apply(int vm, int organisations, std::vector<std::string> extraArguments)
 {
     const TemporaryFolder folder;
     writeFile(folder.file("office.toml"), declarations(organisations));
@@ -85,7 +85,7 @@
 
 std::uint64_t ProcessCluster::revisionOn(int vm)
 {
-    const Finished got = daemon(vm).ctl({"get", "--output", "json"});
+    const ProcessResult got = daemon(vm).ctl({"get", "--output", "json"});
     const auto json = nlohmann::json::parse(got.out, nullptr, false);
     return json.is_discarded() ? 0 : std::stoull(json.value("revision", "0"));
 }
--- a/tests/control/processcluster.h
+++ b/tests/control/processcluster.h
@@ -26,7 +26,7 @@
     void setLinks(int vm, Link::Mode mode);
     void silenceOpenConnections(int vm);
     /// Applies declarations with the given number of organisations at a VM.
-    Finished apply(int vm, int organisations, std::vector<std::string> extraArguments = {});
+    ProcessResult apply(int vm, int organisations, std::vector<std::string> extraArguments = {});
     /// Returns the revision in force on a VM; 0 if it can't be queried.
     std::uint64_t revisionOn(int vm);
     std::string host(int vm) const
--- a/tests/packaging/packagingtest.cpp
+++ b/tests/packaging/packagingtest.cpp
@@ -52,7 +52,7 @@
     const TemporaryFolder folder;
     const std::string file = folder.file("settings.toml");
     writeFile(file, "vm = \"entry-1\"\nhttp_address = \"nowhere\"\ncolour = 1\nreplicas = [\"entry-2\"]\n");
-    const Finished checked = run({"cumindyked", "--settings", file, "--check"});
+    const ProcessResult checked = run({"cumindyked", "--settings", file, "--check"});
     CHECK(checked.exitCode == 2);
     CHECK(checked.error.find(file + ":2: http_address: 'nowhere' is not an address") != std::string::npos);
     CHECK(checked.error.find(file + ":3: colour: unknown key") != std::string::npos);
--- a/tests/support/processes.cpp
+++ b/tests/support/processes.cpp
@@ -136,13 +136,13 @@
     return !m_exitCode;
 }
 
-Finished run(const std::vector<std::string> &command)
+ProcessResult run(const std::vector<std::string> &command)
 {
     const TemporaryFolder folder;
     std::vector<std::string> absolute = command;
     absolute[0] = std::string(CUMINDYKE_BIN) + "/" + command[0];
     Process process(absolute, folder.file("out"), folder.file("error"));
-    Finished finished{.exitCode = process.wait()};
+    ProcessResult finished{.exitCode = process.wait()};
     finished.out = contentOf(folder.file("out"));
     finished.error = contentOf(folder.file("error"));
     return finished;
@@ -245,7 +245,7 @@
     return contentOf(m_logFile);
 }
 
-Finished DaemonProcess::ctl(std::vector<std::string> arguments) const
+ProcessResult DaemonProcess::ctl(std::vector<std::string> arguments) const
 {
     arguments.insert(arguments.begin(), "cumindykectl");
     arguments.insert(arguments.end(), {"--server", rpc()});
--- a/tests/support/processes.h
+++ b/tests/support/processes.h
@@ -84,7 +84,7 @@
     std::optional<int> m_exitCode;
 };
 
-struct Finished
+struct ProcessResult
 {
     int exitCode = 0;
     std::string out;
@@ -92,7 +92,7 @@
 };
 
 /// Runs a program of build/bin to its end.
-Finished run(const std::vector<std::string> &command);
+ProcessResult run(const std::vector<std::string> &command);
 
 struct HttpAnswer
 {
@@ -156,7 +156,7 @@
         return *m_process;
     }
     /// Runs cumindykectl against this daemon.
-    Finished ctl(std::vector<std::string> arguments) const;
+    ProcessResult ctl(std::vector<std::string> arguments) const;
 
 private:
     std::string m_vm;
--- a/tests/support/session.cpp
+++ b/tests/support/session.cpp
@@ -13,7 +13,7 @@
     m_text += "$ " + line + "\n" + result + "\n";
 }
 
-void Session::note(const std::string &line, const Finished &finished)
+void Session::note(const std::string &line, const ProcessResult &finished)
 {
     note(line, finished.out + finished.error + "exit " + std::to_string(finished.exitCode));
 }
--- a/tests/support/session.h
+++ b/tests/support/session.h
@@ -15,7 +15,7 @@
 {
 public:
     void note(const std::string &line, const std::string &result);
-    void note(const std::string &line, const Finished &finished);
+    void note(const std::string &line, const ProcessResult &finished);
     void note(const std::string &line, const HttpAnswer &answer);
     /// Makes equal what differs from run to run in this session, for example which VM leads.
     void replace(const std::string &pattern, const std::string &by);
--- a/tests/support/testdeployment.cpp
+++ b/tests/support/testdeployment.cpp
@@ -66,7 +66,7 @@
     }
     writeFile(m_declarations.file("office.toml"), declared);
     startDaemons(options);
-    const Finished applied = daemon().ctl({"apply", m_declarations.path()});
+    const ProcessResult applied = daemon().ctl({"apply", m_declarations.path()});
     INFO(applied.out + applied.error);
     REQUIRE(applied.exitCode == 0);
     for (const auto &daemon : m_daemons) {
