--- a/tests/histories/historycheckertest.cpp
+++ b/tests/histories/historycheckertest.cpp
@@ -24,7 +24,7 @@
 
 bool detects(Rule rule, const std::string &history, const std::vector<CallerRecord> &callers = {})
 {
-    const std::vector<Violation> detected = violations(history, callers);
+    const std::vector<Violation> detected = findViolations(history, callers);
     return detected.size() == 1 && detected.front().rule == rule;
 }
 
@@ -39,7 +39,7 @@
         {.id = "b", .outcome = "not-run"},
         {.id = "k2", .key = "key", .outcome = "unknown"},
     };
-    CHECK(describe(violations(history, callers)).empty());
+    CHECK(describe(findViolations(history, callers)).empty());
 }
 
 TEST_CASE("each rule detects its injected violation and nothing else")
--- a/tests/process/failurestest.cpp
+++ b/tests/process/failurestest.cpp
@@ -57,7 +57,7 @@
         draftLater(pending, deployment, "committee " + std::to_string(i), 30, headersFor("committee", 5000));
     }
     const std::vector<CallerRecord> records = collect(pending);
-    CHECK(describe(violations(deployment.history(), records)).empty());
+    CHECK(describe(findViolations(deployment.history(), records)).empty());
     CHECK(countOutcome(records, "ran") + countOutcome(records, "not-run") == 48);
     CHECK(countOutcome(records, "not-run") > 0);
 }
@@ -72,7 +72,7 @@
         draftLater(pending, deployment, "notice " + std::to_string(i), 20, {});
     }
     const std::vector<CallerRecord> records = collect(pending);
-    CHECK(describe(violations(deployment.history(), records)).empty());
+    CHECK(describe(findViolations(deployment.history(), records)).empty());
     CHECK(std::ranges::all_of(records, &CallerRecord::whole));
 }
 
@@ -88,7 +88,7 @@
     REQUIRE(eventually([&deployment] { return countOf(deployment.history(), "dispatched") >= 4; }));
     deployment.daemon(2).process().signal(SIGKILL);
     const std::vector<CallerRecord> records = collect(pending);
-    CHECK(describe(violations(deployment.history(), records)).empty());
+    CHECK(describe(findViolations(deployment.history(), records)).empty());
     for (std::size_t engine = 0; engine < 2; ++engine) {
         CHECK(deployment.drafting(engine).process().running());
     }
@@ -116,7 +116,7 @@
     const std::size_t taken = countOf(deployment.booking(0).log(), "run") > 0 ? 0 : 1;
     deployment.booking(taken).process().signal(SIGKILL);
     const std::vector<CallerRecord> records = collect(pending);
-    CHECK(describe(violations(deployment.history(), records)).empty());
+    CHECK(describe(findViolations(deployment.history(), records)).empty());
     CHECK(countOf(deployment.history(), "run") == 1);
     CHECK(countOutcome(records, "unknown") == 40);
 }
@@ -151,7 +151,7 @@
     for (auto &caller : callers) {
         std::ranges::copy(caller.get(), std::back_inserter(records));
     }
-    CHECK(describe(violations(deployment.history(), records)).empty());
+    CHECK(describe(findViolations(deployment.history(), records)).empty());
     CHECK(countOutcome(records, "ran") > 0);
     for (const CallerRecord &record : records) {
         // No outcome: the VM was down and the connection refused.
--- a/tests/support/historychecker.cpp
+++ b/tests/support/historychecker.cpp
@@ -171,7 +171,7 @@
     return "";
 }
 
-std::vector<Violation> violations(const std::string &history, const std::vector<CallerRecord> &callers)
+std::vector<Violation> findViolations(const std::string &history, const std::vector<CallerRecord> &callers)
 {
     const History events = read(history);
     const std::map<Key, std::set<std::string>> byKey = runsByKey(events);
@@ -183,10 +183,10 @@
     return found;
 }
 
-std::string describe(const std::vector<Violation> &violations)
+std::string describe(const std::vector<Violation> &findViolations)
 {
     std::string text;
-    for (const Violation &violation : violations) {
+    for (const Violation &violation : findViolations) {
         text += std::string(toString(violation.rule)) + ": " + violation.detail + "\n";
     }
     return text;
--- a/tests/support/historychecker.h
+++ b/tests/support/historychecker.h
@@ -44,9 +44,9 @@
 };
 
 /// All violations in a history: JSON lines of daemons (HistoryLog) and stand-ins, and the callers' records.
-std::vector<Violation> violations(const std::string &history, const std::vector<CallerRecord> &callers);
+std::vector<Violation> findViolations(const std::string &history, const std::vector<CallerRecord> &callers);
 
 /// One line a violation, for a test's report; empty when all rules held.
-std::string describe(const std::vector<Violation> &violations);
+std::string describe(const std::vector<Violation> &findViolations);
 
 }
