--- a/tests/control/moveprocesstest.cpp
+++ b/tests/control/moveprocesstest.cpp
@@ -100,7 +100,7 @@
 {
     MovingOffice moving;
     moving.start("10m");
-    REQUIRE(eventually([&] { return countOf(moving.newEngine().log(), "run") > 20; }));
+    REQUIRE(eventually([&] { return countEvents(moving.newEngine().log(), "run") > 20; }));
     moving.newEngine().faults(R"({"fail":true})");
     REQUIRE(moving.waitForState("MOVE_STATE_TAKEN_BACK"));
     const ProcessResult status = moving.deployment().daemon().ctl({"move", "status"});
@@ -109,7 +109,7 @@
     // The new engine gets no more requests: the ones in flight end, then the count of its runs stays the same.
     int runs = -1;
     CHECK(eventually([&] {
-        const int before = std::exchange(runs, countOf(moving.newEngine().log(), "run"));
+        const int before = std::exchange(runs, countEvents(moving.newEngine().log(), "run"));
         std::this_thread::sleep_for(std::chrono::seconds(1));
         return before == runs;
     }));
--- a/tests/process/callerinputtest.cpp
+++ b/tests/process/callerinputtest.cpp
@@ -58,7 +58,7 @@
     checkRefused(deployment, completion(good, "Idempotency-Key: " + std::string(300, 'k') + "\r\n"));
     checkRefused(deployment, completion(good, "X-Flood: " + std::string(64 << 10, 'x') + "\r\n"));
     checkRefused(deployment, "POST /v1/completions HTTP/1.1\r\nHost: office\r\nContent-Length: 99999999999\r\n\r\n");
-    CHECK(countOf(deployment.drafting().log(), "run") == 0);
+    CHECK(countEvents(deployment.drafting().log(), "run") == 0);
     CHECK(streamedText(deployment.draft("x", 2).body).whole);
 }
 
@@ -71,7 +71,7 @@
     const std::size_t firstEnd = answers.find("[DONE]");
     REQUIRE(firstEnd != std::string::npos);
     CHECK(answers.find("[DONE]", firstEnd + 1) != std::string::npos);
-    CHECK(countOf(deployment.drafting().log(), "run") == 2);
+    CHECK(countEvents(deployment.drafting().log(), "run") == 2);
 }
 
 // A caller that closes its sending side counts as gone, since many clients that are killed look just so: the stream is cancelled at the
@@ -84,7 +84,7 @@
     connection.readUntil("data: ");
     connection.closeSending();
     connection.readAll();
-    CHECK(eventually([&deployment] { return countOf(deployment.drafting().log(), "cancel") == 1; }));
+    CHECK(eventually([&deployment] { return countEvents(deployment.drafting().log(), "cancel") == 1; }));
 }
 
 // The caller that reads nothing for a while still gets its whole answer. The engine is far faster than the caller: the daemon stops
@@ -99,7 +99,7 @@
     const std::string answer = connection.readAll();
     CHECK(answer.find("[DONE]") != std::string::npos);
     CHECK(answer.find("id: " + std::to_string(Tokens - 1) + "\n") != std::string::npos);
-    CHECK(countOf(deployment.drafting().log(), "run") == 1);
+    CHECK(countEvents(deployment.drafting().log(), "run") == 1);
 }
 
 // The slow caller is told that it took too long and is cut off; others are served meanwhile. It sends a byte of its head again and again,
--- a/tests/process/failurestest.cpp
+++ b/tests/process/failurestest.cpp
@@ -85,7 +85,7 @@
     for (int i = 0; i < 24; ++i) {
         draftLater(pending, deployment, "programme " + std::to_string(i), 30, {}, static_cast<std::size_t>(i % 3));
     }
-    REQUIRE(eventually([&deployment] { return countOf(deployment.history(), "dispatched") >= 4; }));
+    REQUIRE(eventually([&deployment] { return countEvents(deployment.history(), "dispatched") >= 4; }));
     deployment.daemon(2).process().signal(SIGKILL);
     const std::vector<CallerRecord> records = collect(pending);
     CHECK(describe(findViolations(deployment.history(), records)).empty());
@@ -112,12 +112,12 @@
             return recordOf(deployment.deposit("deposit-7", "hall=3", i % 3), "", "deposit-7");
         }));
     }
-    REQUIRE(eventually([&deployment] { return countOf(deployment.history(), "run") > 0; }));
-    const std::size_t taken = countOf(deployment.booking(0).log(), "run") > 0 ? 0 : 1;
+    REQUIRE(eventually([&deployment] { return countEvents(deployment.history(), "run") > 0; }));
+    const std::size_t taken = countEvents(deployment.booking(0).log(), "run") > 0 ? 0 : 1;
     deployment.booking(taken).process().signal(SIGKILL);
     const std::vector<CallerRecord> records = collect(pending);
     CHECK(describe(findViolations(deployment.history(), records)).empty());
-    CHECK(countOf(deployment.history(), "run") == 1);
+    CHECK(countEvents(deployment.history(), "run") == 1);
     CHECK(countOutcome(records, "unknown") == 40);
 }
 
--- a/tests/process/keyedrequeststest.cpp
+++ b/tests/process/keyedrequeststest.cpp
@@ -33,7 +33,7 @@
     bodies.insert(later.body);
     CHECK(replayed == 9);
     CHECK(bodies.size() == 1);
-    CHECK(countOf(deployment.booking().log(), "run") == 1);
+    CHECK(countEvents(deployment.booking().log(), "run") == 1);
 }
 
 TEST_CASE("a key used with another payload is refused and nothing runs for it")
@@ -43,7 +43,7 @@
     const HttpAnswer other = deployment.deposit("deposit-7", "hall=4");
     CHECK(other.status == 409);
     CHECK(other.header("X-Cumindyke-Outcome") == "not-run");
-    CHECK(countOf(deployment.booking().log(), "run") == 1);
+    CHECK(countEvents(deployment.booking().log(), "run") == 1);
 }
 
 // The first caller sees "unknown" and so does every later one: the service is killed after it took the deposit, so nobody can tell
@@ -54,7 +54,7 @@
     deployment.booking(0).faults(R"({"plain_delay_ms":20000})");
     deployment.booking(1).faults(R"({"plain_delay_ms":20000})");
     std::future<HttpAnswer> first = std::async(std::launch::async, [&deployment] { return deployment.deposit("deposit-7", "hall=3"); });
-    const auto ran = [&deployment](std::size_t index) { return countOf(deployment.booking(index).log(), "run") == 1; };
+    const auto ran = [&deployment](std::size_t index) { return countEvents(deployment.booking(index).log(), "run") == 1; };
     REQUIRE(eventually([&ran] { return ran(0) || ran(1); }));
     const std::size_t killed = ran(0) ? 0 : 1;
     deployment.booking(killed).process().signal(SIGKILL);
@@ -64,7 +64,7 @@
     const HttpAnswer again = deployment.deposit("deposit-7", "hall=3");
     CHECK(again.status == 502);
     CHECK(again.header("X-Cumindyke-Outcome") == "unknown");
-    CHECK(countOf(deployment.booking(1 - killed).log(), "run") == 0);
+    CHECK(countEvents(deployment.booking(1 - killed).log(), "run") == 0);
 }
 
 // The caller that left finds its receipt when it comes back: a deposit that went out runs to its end without its caller.
@@ -87,7 +87,7 @@
                                                ProgressTimeouts{});
     call->start();
     Timer look(loop, [&deployment, &loop] {
-        if (countOf(deployment.booking().log(), "run") == 1) {
+        if (countEvents(deployment.booking().log(), "run") == 1) {
             loop.stop();
         }
     });
@@ -100,7 +100,7 @@
     const HttpAnswer answer = deployment.deposit("deposit-7", "hall=3");
     CHECK(answer.status == 200);
     CHECK(answer.header("Idempotent-Replayed") == "true");
-    CHECK(countOf(deployment.booking().log(), "run") == 1);
+    CHECK(countEvents(deployment.booking().log(), "run") == 1);
 }
 
 // The caller that sends again after the daemon was killed hears "unknown" as long as the outcome is lost, or the answer if its end was
@@ -110,7 +110,7 @@
     TestDeployment deployment;
     deployment.booking().faults(R"({"plain_delay_ms":3000})");
     std::future<HttpAnswer> first = std::async(std::launch::async, [&deployment] { return deployment.deposit("deposit-7", "hall=3"); });
-    REQUIRE(eventually([&deployment] { return countOf(deployment.booking().log(), "run") == 1; }));
+    REQUIRE(eventually([&deployment] { return countEvents(deployment.booking().log(), "run") == 1; }));
     deployment.daemon().process().signal(SIGKILL);
     deployment.daemon().process().wait();
     first.get();
@@ -121,7 +121,7 @@
         CHECK(again.status == 502);
         CHECK(again.header("X-Cumindyke-Outcome") == "unknown");
     }
-    CHECK(countOf(deployment.booking().log(), "run") == 1);
+    CHECK(countEvents(deployment.booking().log(), "run") == 1);
 }
 
 // The callers see whole answers and the process ends by itself: SIGTERM makes the daemon unready at once, what waits and runs goes on to
@@ -133,7 +133,7 @@
     for (int i = 0; i < 6; ++i) {
         answers.push_back(std::async(std::launch::async, [&deployment, i] { return deployment.draft("notice " + std::to_string(i), 20); }));
     }
-    REQUIRE(eventually([&deployment] { return countOf(deployment.drafting().log(), "run") == 2; }));
+    REQUIRE(eventually([&deployment] { return countEvents(deployment.drafting().log(), "run") == 2; }));
     deployment.daemon().process().signal(SIGTERM);
     REQUIRE(eventually([&deployment] { return http(deployment.daemon().http(), "GET", "/readyz").status == 503; }));
     deployment.daemon().process().signal(SIGTERM);
@@ -147,7 +147,7 @@
         CHECK(text.text == expectedText("notice " + std::to_string(i), 20));
     }
     CHECK(deployment.daemon().process().wait() == 0);
-    CHECK(countOf(deployment.drafting().log(), "run") == 6);
+    CHECK(countEvents(deployment.drafting().log(), "run") == 6);
 }
 
 // All callers see one receipt. Sendings of one deposit arrive at three VMs while it runs at one of them: the others find the claim in the
@@ -171,7 +171,7 @@
         bodies.insert(deployment.deposit("deposit-7", "hall=3", vm).body);
     }
     CHECK(bodies.size() == 1);
-    CHECK(countOf(deployment.booking().log(), "run") == 1);
+    CHECK(countEvents(deployment.booking().log(), "run") == 1);
 }
 
 // The caller that turns to another VM hears "unknown", and after the holder's return still so; the deposit never runs again. The holder
@@ -181,7 +181,7 @@
     TestDeployment deployment(TestDeploymentOptions{.vms = 3});
     deployment.booking().faults(R"({"plain_delay_ms":2000})");
     std::future<HttpAnswer> first = std::async(std::launch::async, [&deployment] { return deployment.deposit("deposit-7", "hall=3", 1); });
-    REQUIRE(eventually([&deployment] { return countOf(deployment.booking().log(), "run") == 1; }));
+    REQUIRE(eventually([&deployment] { return countEvents(deployment.booking().log(), "run") == 1; }));
     std::future<HttpAnswer> joined = std::async(std::launch::async, [&deployment] { return deployment.deposit("deposit-7", "hall=3", 2); });
     deployment.daemon(1).process().signal(SIGKILL);
     deployment.daemon(1).process().wait();
@@ -193,5 +193,5 @@
     for (std::size_t vm = 0; vm < deployment.vms(); ++vm) {
         CHECK(deployment.deposit("deposit-7", "hall=3", vm).header("X-Cumindyke-Outcome") == "unknown");
     }
-    CHECK(countOf(deployment.booking().log(), "run") == 1);
+    CHECK(countEvents(deployment.booking().log(), "run") == 1);
 }
--- a/tests/process/leavingtest.cpp
+++ b/tests/process/leavingtest.cpp
@@ -21,11 +21,11 @@
     REQUIRE(eventually([&deployment] { return deployment.daemon().log().find("leaving-vms") != std::string::npos; }));
     writeFile(list, "{");
     REQUIRE(eventually([&deployment] { return deployment.daemon().log().find("platform-list-unreadable") != std::string::npos; }));
-    const int before = countOf(deployment.drafting(0).log(), "run");
+    const int before = countEvents(deployment.drafting(0).log(), "run");
     for (int i = 0; i < 12; ++i) {
         CHECK(streamedText(deployment.draft("after " + std::to_string(i), 2).body).whole);
     }
-    CHECK(countOf(deployment.drafting(0).log(), "run") == before);
+    CHECK(countEvents(deployment.drafting(0).log(), "run") == before);
 }
 
 // The caller's answer is cut by the declared limit, and the log says so: the only thing that shortens a graceful shutdown.
@@ -33,7 +33,7 @@
 {
     TestDeployment deployment(TestDeploymentOptions{.upstreamArguments = {"--step-ms", "1000"}, .moreSettings = "drain_limit_ms = 300\n"});
     std::thread caller([&deployment] { deployment.draft("long", 1000); });
-    REQUIRE(eventually([&deployment] { return countOf(deployment.drafting().log(), "run") == 1; }));
+    REQUIRE(eventually([&deployment] { return countEvents(deployment.drafting().log(), "run") == 1; }));
     deployment.daemon().process().signal(SIGTERM);
     deployment.daemon().process().wait();
     caller.join();
--- a/tests/process/wholeanswerstest.cpp
+++ b/tests/process/wholeanswerstest.cpp
@@ -27,8 +27,8 @@
     const StreamedText text = streamedText(answer.body);
     CHECK(text.whole);
     CHECK(text.text == expectedText(Prompt, 10));
-    CHECK(countOf(deployment.drafting().log(), "run") == 1);
-    CHECK(countOf(deployment.drafting().log(), "resume") >= 3);
+    CHECK(countEvents(deployment.drafting().log(), "run") == 1);
+    CHECK(countEvents(deployment.drafting().log(), "resume") >= 3);
 }
 
 // The caller sees a pause and then the rest. The connection goes silent for good after four tokens while the engine works on; the
@@ -40,7 +40,7 @@
     const StreamedText text = streamedText(deployment.draft(Prompt, 6).body);
     CHECK(text.whole);
     CHECK(text.text == expectedText(Prompt, 6));
-    CHECK(countOf(deployment.drafting().log(), "run") == 1);
+    CHECK(countEvents(deployment.drafting().log(), "run") == 1);
 }
 
 // Each caller sees its own answer. The upstream answers with another request's id; the daemon drops that answer unread, counts it and
@@ -58,7 +58,7 @@
         CHECK(text.whole);
         CHECK(text.text == expectedText("guest list " + std::to_string(i), 5));
     }
-    CHECK(countOf(deployment.drafting().log(), "run") == 8);
+    CHECK(countEvents(deployment.drafting().log(), "run") == 8);
     CHECK(deployment.metrics().find("cumindyke_wrong_answers_total 8") != std::string::npos);
 }
 
@@ -68,7 +68,7 @@
 {
     TestDeployment deployment(TestDeploymentOptions{.draftingUpstreams = 2, .upstreamArguments = {"--step-ms", "50"}});
     std::future<HttpAnswer> answer = std::async(std::launch::async, [&deployment] { return deployment.draft(Prompt, 200); });
-    const auto running = [&deployment](std::size_t index) { return countOf(deployment.drafting(index).log(), "run") == 1; };
+    const auto running = [&deployment](std::size_t index) { return countEvents(deployment.drafting(index).log(), "run") == 1; };
     REQUIRE(eventually([&running] { return running(0) || running(1); }));
     const std::size_t killed = running(0) ? 0 : 1;
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
@@ -79,7 +79,7 @@
     CHECK(expectedText(Prompt, 200).starts_with(text.text));
     CHECK(text.error.find(R"("kind":"upstream-failed")") != std::string::npos);
     CHECK(text.error.find(R"("outcome":"ran")") != std::string::npos);
-    CHECK(countOf(deployment.drafting(1 - killed).log(), "run") == 0);
+    CHECK(countEvents(deployment.drafting(1 - killed).log(), "run") == 0);
 }
 
 // The engine is told to stop when nobody waits any more: the caller closes its connection after the first token, and the engine's log
@@ -111,7 +111,7 @@
     Timer rest(loop, [&loop] { loop.stop(); });
     rest.startOnce(std::chrono::milliseconds(1));
     loop.run();
-    CHECK(eventually([&deployment] { return countOf(deployment.drafting().log(), "cancel") == 1; }));
+    CHECK(eventually([&deployment] { return countEvents(deployment.drafting().log(), "cancel") == 1; }));
     CHECK(deployment.metrics().find("cumindyke_stream_cancels_total 1") != std::string::npos);
 }
 
@@ -125,6 +125,6 @@
         CHECK(text.whole);
         CHECK(text.text == expectedText(Prompt, 3));
     }
-    CHECK(countOf(deployment.drafting(0).log(), "run") == 0);
-    CHECK(countOf(deployment.drafting(1).log(), "run") == 6);
+    CHECK(countEvents(deployment.drafting(0).log(), "run") == 0);
+    CHECK(countEvents(deployment.drafting(1).log(), "run") == 6);
 }
--- a/tests/support/testdeployment.cpp
+++ b/tests/support/testdeployment.cpp
@@ -172,7 +172,7 @@
     return result;
 }
 
-int countOf(const std::string &log, const std::string &event)
+int countEvents(const std::string &log, const std::string &event)
 {
     int count = 0;
     std::istringstream lines(log);
--- a/tests/support/testdeployment.h
+++ b/tests/support/testdeployment.h
@@ -95,6 +95,6 @@
 /// What the history checker needs of an answer that has just come.
 CallerRecord recordOf(const HttpAnswer &answer, const std::string &expected, const std::string &key = {});
 /// How many lines of a stand-in's log have this event.
-int countOf(const std::string &log, const std::string &event);
+int countEvents(const std::string &log, const std::string &event);
 
 }
