--- a/tests/control/moveprocesstest.cpp
+++ b/tests/control/moveprocesstest.cpp
@@ -101,7 +101,7 @@
     MovingOffice moving;
     moving.start("10m");
     REQUIRE(eventually([&] { return countEvents(moving.newEngine().log(), "run") > 20; }));
-    moving.newEngine().faults(R"({"fail":true})");
+    moving.newEngine().setFaults(R"({"fail":true})");
     REQUIRE(moving.waitForState("MOVE_STATE_TAKEN_BACK"));
     const ProcessResult status = moving.deployment().daemon().ctl({"move", "status"});
     CHECK(status.out.find("taken back") != std::string::npos);
--- a/tests/process/failurestest.cpp
+++ b/tests/process/failurestest.cpp
@@ -66,7 +66,7 @@
 TEST_CASE("an engine at half speed delays answers and nothing else")
 {
     TestDeployment deployment(TestDeploymentOptions{.draftingUpstreams = 2, .slots = 4});
-    deployment.drafting(0).faults(R"({"slowness":2})");
+    deployment.drafting(0).setFaults(R"({"slowness":2})");
     Pending pending;
     for (int i = 0; i < 24; ++i) {
         draftLater(pending, deployment, "notice " + std::to_string(i), 20, {});
@@ -103,8 +103,8 @@
 TEST_CASE("a storm of resends of one deposit while its service dies runs it once")
 {
     TestDeployment deployment(TestDeploymentOptions{.bookingUpstreams = 2, .vms = 3});
-    deployment.booking(0).faults(R"({"plain_delay_ms":1000})");
-    deployment.booking(1).faults(R"({"plain_delay_ms":1000})");
+    deployment.booking(0).setFaults(R"({"plain_delay_ms":1000})");
+    deployment.booking(1).setFaults(R"({"plain_delay_ms":1000})");
     Pending pending;
     for (std::size_t i = 0; i < 40; ++i) {
         pending.push_back(std::async(std::launch::async, [&deployment, i] {
--- a/tests/process/keyedrequeststest.cpp
+++ b/tests/process/keyedrequeststest.cpp
@@ -14,7 +14,7 @@
 TEST_CASE("all sendings of one deposit get one answer and it runs once")
 {
     TestDeployment deployment;
-    deployment.booking().faults(R"({"plain_delay_ms":500})");
+    deployment.booking().setFaults(R"({"plain_delay_ms":500})");
     std::vector<std::future<HttpAnswer>> answers;
     for (int i = 0; i < 10; ++i) {
         answers.push_back(std::async(std::launch::async, [&deployment] { return deployment.deposit("deposit-7", "hall=3"); }));
@@ -51,8 +51,8 @@
 TEST_CASE("a deposit whose service dies is unknown for every sending and runs once")
 {
     TestDeployment deployment(TestDeploymentOptions{.bookingUpstreams = 2});
-    deployment.booking(0).faults(R"({"plain_delay_ms":20000})");
-    deployment.booking(1).faults(R"({"plain_delay_ms":20000})");
+    deployment.booking(0).setFaults(R"({"plain_delay_ms":20000})");
+    deployment.booking(1).setFaults(R"({"plain_delay_ms":20000})");
     std::future<HttpAnswer> first = std::async(std::launch::async, [&deployment] { return deployment.deposit("deposit-7", "hall=3"); });
     const auto ran = [&deployment](std::size_t index) { return countEvents(deployment.booking(index).log(), "run") == 1; };
     REQUIRE(eventually([&ran] { return ran(0) || ran(1); }));
@@ -71,7 +71,7 @@
 TEST_CASE("a deposit whose caller left is answered to the next sending")
 {
     TestDeployment deployment;
-    deployment.booking().faults(R"({"plain_delay_ms":600})");
+    deployment.booking().setFaults(R"({"plain_delay_ms":600})");
     HeaderList headers = ApiKeyHeaders;
     headers.emplace_back("Idempotency-Key", "deposit-7");
     EventLoop loop;
@@ -108,7 +108,7 @@
 TEST_CASE("a daemon killed while a deposit runs never lets it run again")
 {
     TestDeployment deployment;
-    deployment.booking().faults(R"({"plain_delay_ms":3000})");
+    deployment.booking().setFaults(R"({"plain_delay_ms":3000})");
     std::future<HttpAnswer> first = std::async(std::launch::async, [&deployment] { return deployment.deposit("deposit-7", "hall=3"); });
     REQUIRE(eventually([&deployment] { return countEvents(deployment.booking().log(), "run") == 1; }));
     deployment.daemon().process().signal(SIGKILL);
@@ -155,7 +155,7 @@
 TEST_CASE("sendings at several VMs join one run")
 {
     TestDeployment deployment(TestDeploymentOptions{.vms = 3});
-    deployment.booking().faults(R"({"plain_delay_ms":700})");
+    deployment.booking().setFaults(R"({"plain_delay_ms":700})");
     std::vector<std::future<HttpAnswer>> answers;
     for (std::size_t i = 0; i < 9; ++i) {
         answers.push_back(std::async(std::launch::async, [&deployment, i] { return deployment.deposit("deposit-7", "hall=3", i % deployment.vms()); }));
@@ -179,7 +179,7 @@
 TEST_CASE("a deposit whose entry VM dies is unknown at the other VMs and runs once")
 {
     TestDeployment deployment(TestDeploymentOptions{.vms = 3});
-    deployment.booking().faults(R"({"plain_delay_ms":2000})");
+    deployment.booking().setFaults(R"({"plain_delay_ms":2000})");
     std::future<HttpAnswer> first = std::async(std::launch::async, [&deployment] { return deployment.deposit("deposit-7", "hall=3", 1); });
     REQUIRE(eventually([&deployment] { return countEvents(deployment.booking().log(), "run") == 1; }));
     std::future<HttpAnswer> joined = std::async(std::launch::async, [&deployment] { return deployment.deposit("deposit-7", "hall=3", 2); });
--- a/tests/process/wholeanswerstest.cpp
+++ b/tests/process/wholeanswerstest.cpp
@@ -21,7 +21,7 @@
 TEST_CASE("a stream whose connection is cut again and again arrives whole and ran once")
 {
     TestDeployment deployment;
-    deployment.drafting().faults(R"({"cut_after":3})");
+    deployment.drafting().setFaults(R"({"cut_after":3})");
     const HttpAnswer answer = deployment.draft(Prompt, 10);
     CHECK(answer.status == 200);
     const StreamedText text = streamedText(answer.body);
@@ -36,7 +36,7 @@
 TEST_CASE("a stream whose connection goes silent arrives whole and ran once")
 {
     TestDeployment deployment;
-    deployment.drafting().faults(R"({"silent_after":4})");
+    deployment.drafting().setFaults(R"({"silent_after":4})");
     const StreamedText text = streamedText(deployment.draft(Prompt, 6).body);
     CHECK(text.whole);
     CHECK(text.text == expectedText(Prompt, 6));
@@ -48,7 +48,7 @@
 TEST_CASE("crossed answers reach nobody and each caller gets its own")
 {
     TestDeployment deployment;
-    deployment.drafting().faults(R"({"crossed":true})");
+    deployment.drafting().setFaults(R"({"crossed":true})");
     std::vector<std::future<HttpAnswer>> answers;
     for (int i = 0; i < 8; ++i) {
         answers.push_back(std::async(std::launch::async, [&deployment, i] { return deployment.draft("guest list " + std::to_string(i), 5); }));
@@ -119,7 +119,7 @@
 TEST_CASE("a refusal that names itself unrun is followed by another upstream")
 {
     TestDeployment deployment(TestDeploymentOptions{.draftingUpstreams = 2});
-    deployment.drafting(0).faults(R"({"refuse":true})");
+    deployment.drafting(0).setFaults(R"({"refuse":true})");
     for (int i = 0; i < 6; ++i) {
         const StreamedText text = streamedText(deployment.draft(Prompt, 3).body);
         CHECK(text.whole);
--- a/tests/support/processes.cpp
+++ b/tests/support/processes.cpp
@@ -209,7 +209,7 @@
     return contentOf(m_logFile);
 }
 
-void FakeUpstreamProcess::faults(const std::string &json) const
+void FakeUpstreamProcess::setFaults(const std::string &json) const
 {
     REQUIRE(test::http(m_address, "POST", "/faults", {}, json).status == 200);
 }
--- a/tests/support/processes.h
+++ b/tests/support/processes.h
@@ -121,7 +121,7 @@
     /// The runs, one JSON object a line.
     std::string log() const;
     /// Sets faults (JSON).
-    void faults(const std::string &json) const;
+    void setFaults(const std::string &json) const;
     Process &process()
     {
         return *m_process;
