--- a/tests/control/clusterprocesstest.cpp
+++ b/tests/control/clusterprocesstest.cpp
@@ -41,7 +41,7 @@
     ProcessCluster cluster(3);
     REQUIRE(cluster.apply(1, 1).exitCode == 0);
     REQUIRE(cluster.waitAllReady());
-    cluster.silenceOpenConnections(3);
+    cluster.stallOpenConnections(3);
     REQUIRE(cluster.apply(2, 2).exitCode == 0);
     CHECK(eventually([&] { return cluster.revisionOn(3) == 2; }));
     CHECK(cluster.waitAllReady());
--- a/tests/control/processcluster.cpp
+++ b/tests/control/processcluster.cpp
@@ -57,11 +57,11 @@
     }
 }
 
-void ProcessCluster::silenceOpenConnections(int vm)
+void ProcessCluster::stallOpenConnections(int vm)
 {
     for (const auto &[ends, link] : m_links) {
         if (ends.first == vm || ends.second == vm) {
-            link->silenceOpenConnections();
+            link->stallOpenConnections();
         }
     }
 }
--- a/tests/control/processcluster.h
+++ b/tests/control/processcluster.h
@@ -24,7 +24,7 @@
     bool waitAllReady() const;
     /// Sets the mode of all links from and to a VM.
     void setLinks(int vm, Link::Mode mode);
-    void silenceOpenConnections(int vm);
+    void stallOpenConnections(int vm);
     /// Applies declarations with the given number of organisations at a VM.
     ProcessResult apply(int vm, int organisations, std::vector<std::string> extraArguments = {});
     /// Returns the revision in force on a VM; 0 if it can't be queried.
--- a/tests/support/link.cpp
+++ b/tests/support/link.cpp
@@ -175,7 +175,7 @@
     d->post(mode);
 }
 
-void Link::silenceOpenConnections()
+void Link::stallOpenConnections()
 {
     d->post(Silence{});
 }
--- a/tests/support/link.h
+++ b/tests/support/link.h
@@ -27,7 +27,7 @@
     /// For open connections and new ones, at once.
     void setMode(Mode mode);
     /// The connections that are open now stay silent for good; new ones work.
-    void silenceOpenConnections();
+    void stallOpenConnections();
 
 private:
     class Private;
