--- a/tests/control/moveprocesstest.cpp
+++ b/tests/control/moveprocesstest.cpp
@@ -20,7 +20,7 @@
     MovingOffice()
         : m_new(m_folder, "drafting-new", m_network.host(21), {"--step-ms", "2", "--version", "v2"})
         , m_office(TestDeploymentOptions{.upstreamArguments = {"--step-ms", "2"},
-                                         .moreDeclarations
+                                         .extraDeclarations
                                          = "[[upstream]]\nname = \"drafting-new\"\nservice = \"drafting\"\nversion = \"v2\"\ndata_centre = \"local\"\n"
                                            "slots = 16\naddress = \""
                                              + toString(m_new.address()) + "\"\n"})
--- a/tests/support/testdeployment.cpp
+++ b/tests/support/testdeployment.cpp
@@ -52,7 +52,7 @@
 
 TestDeployment::TestDeployment(const TestDeploymentOptions &options)
 {
-    std::string declared = Declared + options.moreDeclarations;
+    std::string declared = Declared + options.extraDeclarations;
     int host = 11;
     for (int i = 1; i <= options.draftingUpstreams; ++i) {
         const std::string name = "drafting-" + std::to_string(i);
--- a/tests/support/testdeployment.h
+++ b/tests/support/testdeployment.h
@@ -22,7 +22,7 @@
     int replicas = 1;
     /// More arguments for every stand-in.
     std::vector<std::string> upstreamArguments;
-    std::string moreDeclarations;
+    std::string extraDeclarations;
     /// More settings for every daemon.
     std::string moreSettings;
 };
