--- a/tests/process/callerinputtest.cpp
+++ b/tests/process/callerinputtest.cpp
@@ -106,7 +106,7 @@
 // so libevent's timeout, which starts anew with each byte, never passes; the limit on the whole request does.
 TEST_CASE("a caller that sends a request byte by byte for too long is cut off")
 {
-    TestDeployment deployment(TestDeploymentOptions{.moreSettings = "request_read_limit_ms = 300\n"});
+    TestDeployment deployment(TestDeploymentOptions{.extraSettings = "request_read_limit_ms = 300\n"});
     RawConnection slow(deployment.daemonAddress());
     REQUIRE(slow.send("POST /v1/completions HTTP/1.1\r\nX-Slow: "));
     CHECK(eventually([&slow] { return !slow.send("x"); }));
--- a/tests/process/leavingtest.cpp
+++ b/tests/process/leavingtest.cpp
@@ -15,7 +15,7 @@
     const TemporaryFolder folder;
     const std::string list = folder.file("vms.json");
     writeFile(list, R"({"vms":[]})");
-    TestDeployment deployment(TestDeploymentOptions{.draftingUpstreams = 2, .moreSettings = "platform_list = \"" + list + "\"\n"});
+    TestDeployment deployment(TestDeploymentOptions{.draftingUpstreams = 2, .extraSettings = "platform_list = \"" + list + "\"\n"});
     REQUIRE(streamedText(deployment.draft("before", 2).body).whole);
     writeFile(list, R"({"vms":[{"address":")" + deployment.drafting(0).address().host + R"(","state":"leaving"}]})");
     REQUIRE(eventually([&deployment] { return deployment.daemon().log().find("leaving-vms") != std::string::npos; }));
@@ -31,7 +31,7 @@
 // The caller's answer is cut by the declared limit, and the log says so: the only thing that shortens a graceful shutdown.
 TEST_CASE("a declared limit ends a graceful shutdown and is logged")
 {
-    TestDeployment deployment(TestDeploymentOptions{.upstreamArguments = {"--step-ms", "1000"}, .moreSettings = "drain_limit_ms = 300\n"});
+    TestDeployment deployment(TestDeploymentOptions{.upstreamArguments = {"--step-ms", "1000"}, .extraSettings = "drain_limit_ms = 300\n"});
     std::thread caller([&deployment] { deployment.draft("long", 1000); });
     REQUIRE(eventually([&deployment] { return countEvents(deployment.drafting().log(), "run") == 1; }));
     deployment.daemon().process().signal(SIGTERM);
--- a/tests/support/testdeployment.cpp
+++ b/tests/support/testdeployment.cpp
@@ -82,7 +82,7 @@
         replicas += (vm > 1 ? ", \"" : "\"") + nameOf(vm) + "\"";
     }
     for (int vm = 1; vm <= options.vms; ++vm) {
-        std::string settings = options.moreSettings + "history_file = \"" + m_folder.file(nameOf(vm) + ".history") + "\"\nreplicas = [" + replicas + "]\n";
+        std::string settings = options.extraSettings + "history_file = \"" + m_folder.file(nameOf(vm) + ".history") + "\"\nreplicas = [" + replicas + "]\n";
         for (int peer = 1; peer <= options.vms; ++peer) {
             if (peer != vm) {
                 settings += "[[peer]]\nvm = \"" + nameOf(peer) + "\"\nrpc_address = \"" + m_network.host(peer) + ":8081\"\n";
--- a/tests/support/testdeployment.h
+++ b/tests/support/testdeployment.h
@@ -24,7 +24,7 @@
     std::vector<std::string> upstreamArguments;
     std::string extraDeclarations;
     /// More settings for every daemon.
-    std::string moreSettings;
+    std::string extraSettings;
 };
 
 /// A small office on real processes: daemons, drafting engines and booking services, declared and ready.
