--- a/tests/golden/quickstarttest.cpp
+++ b/tests/golden/quickstarttest.cpp
@@ -36,7 +36,7 @@
     session.note("cumindykectl check DIR", daemon.ctl({"check", declarations.path()}));
     session.note("cumindykectl diff DIR", daemon.ctl({"diff", declarations.path()}));
     session.note("cumindykectl apply DIR", daemon.ctl({"apply", declarations.path(), "--author", "ade"}));
-    REQUIRE(daemon.waitReady());
+    REQUIRE(daemon.waitUntilReady());
     session.note("GET /readyz", http(daemon.http(), "GET", "/readyz"));
     session.note("cumindykectl apply DIR", daemon.ctl({"apply", declarations.path()}));
     session.note("cumindykectl get", daemon.ctl({"get"}));
--- a/tests/golden/threevmstest.cpp
+++ b/tests/golden/threevmstest.cpp
@@ -67,7 +67,7 @@
     deployment.daemon(leader).process().signal(SIGKILL);
     deployment.daemon(leader).process().wait();
     session.note("the leader is killed; apply DIR", secondDaemon.ctl({"apply", deployment.declarations(), "--author", "bisi"}));
-    REQUIRE(secondDaemon.waitReady());
+    REQUIRE(secondDaemon.waitUntilReady());
     session.note("POST /v1/completions, without the leader", deployment.draft("Notice", 2, {}, second));
     deployment.daemon(leader).start();
     REQUIRE(eventually([&secondDaemon] { return areAllLive(secondDaemon); }));
--- a/tests/peer/tlsprocesstest.cpp
+++ b/tests/peer/tlsprocesstest.cpp
@@ -76,5 +76,5 @@
     writeFile(declarations.file("office.toml"), "[[tier]]\nname = \"committee\"\nrank = 0\n");
     const TlsFiles trusted = authority.issue(folder.file("operator"), "127.0.0.1");
     CHECK(second.ctl({"apply", declarations.path(), "--cert", trusted.certificate, "--key", trusted.key, "--ca", trusted.ca}).exitCode == 0);
-    CHECK(second.waitReady());
+    CHECK(second.waitUntilReady());
 }
--- a/tests/process/failurestest.cpp
+++ b/tests/process/failurestest.cpp
@@ -143,7 +143,7 @@
         CHECK(deployment.daemon(vm).process().wait() == 0);
         deployment.daemon(vm).start();
         for (std::size_t ready = 0; ready < deployment.vms(); ++ready) {
-            REQUIRE(deployment.daemon(ready).waitReady());
+            REQUIRE(deployment.daemon(ready).waitUntilReady());
         }
     }
     over = true;
--- a/tests/process/keyedrequeststest.cpp
+++ b/tests/process/keyedrequeststest.cpp
@@ -115,7 +115,7 @@
     deployment.daemon().process().wait();
     first.get();
     deployment.daemon().start();
-    REQUIRE(deployment.daemon().waitReady());
+    REQUIRE(deployment.daemon().waitUntilReady());
     for (int i = 0; i < 3; ++i) {
         const HttpAnswer again = deployment.deposit("deposit-7", "hall=3");
         CHECK(again.status == 502);
@@ -189,7 +189,7 @@
     CHECK(joined.get().header("X-Cumindyke-Outcome") == "unknown");
     CHECK(deployment.deposit("deposit-7", "hall=3", 0).header("X-Cumindyke-Outcome") == "unknown");
     deployment.daemon(1).start();
-    REQUIRE(deployment.daemon(1).waitReady());
+    REQUIRE(deployment.daemon(1).waitUntilReady());
     for (std::size_t vm = 0; vm < deployment.vms(); ++vm) {
         CHECK(deployment.deposit("deposit-7", "hall=3", vm).header("X-Cumindyke-Outcome") == "unknown");
     }
--- a/tests/support/processes.cpp
+++ b/tests/support/processes.cpp
@@ -235,7 +235,7 @@
     REQUIRE(m_process->running());
 }
 
-bool DaemonProcess::waitReady() const
+bool DaemonProcess::waitUntilReady() const
 {
     return eventually([this] { return test::http(http(), "GET", "/readyz").status == 200; });
 }
--- a/tests/support/processes.h
+++ b/tests/support/processes.h
@@ -141,7 +141,7 @@
     DaemonProcess(const TemporaryFolder &folder, const std::string &vm, const std::string &host, const std::string &more = {});
 
     void start();
-    bool waitReady() const;
+    bool waitUntilReady() const;
     Address http() const
     {
         return Address{m_host, 8080};
--- a/tests/support/testdeployment.cpp
+++ b/tests/support/testdeployment.cpp
@@ -70,7 +70,7 @@
     INFO(applied.out + applied.error);
     REQUIRE(applied.exitCode == 0);
     for (const auto &daemon : m_daemons) {
-        REQUIRE(daemon->waitReady());
+        REQUIRE(daemon->waitUntilReady());
     }
 }
 
