--- a/tests/golden/threevmstest.cpp
+++ b/tests/golden/threevmstest.cpp
@@ -54,25 +54,25 @@
     const std::size_t third = (leader + 2) % 3;
     DaemonProcess &secondDaemon = deployment.daemon(second);
 
-    session.note("snapshot save", secondDaemon.ctl({"snapshot", "save", saved.file("state")}));
+    session.record("snapshot save", secondDaemon.ctl({"snapshot", "save", saved.file("state")}));
     writeFile(deployment.declarations() + "/zaria.toml", organisation("zaria"));
-    session.note("apply DIR --wait, with organisation zaria", secondDaemon.ctl({"apply", deployment.declarations(), "--wait", "--author", "ade"}));
+    session.record("apply DIR --wait, with organisation zaria", secondDaemon.ctl({"apply", deployment.declarations(), "--wait", "--author", "ade"}));
     writeFile(deployment.declarations() + "/jos.toml", organisation("jos"));
-    session.note("apply DIR, made against revision 1",
-                 deployment.daemon(third).ctl({"apply", deployment.declarations(), "--base-revision", "1", "--author", "bisi"}));
-    session.note("POST deposit", deployment.deposit("deposit-1", "hall=3", second));
-    session.note("POST deposit again, at another VM", deployment.deposit("deposit-1", "hall=3", third));
-    session.note("POST deposit with another payload", deployment.deposit("deposit-1", "hall=4", third));
+    session.record("apply DIR, made against revision 1",
+                   deployment.daemon(third).ctl({"apply", deployment.declarations(), "--base-revision", "1", "--author", "bisi"}));
+    session.record("POST deposit", deployment.deposit("deposit-1", "hall=3", second));
+    session.record("POST deposit again, at another VM", deployment.deposit("deposit-1", "hall=3", third));
+    session.record("POST deposit with another payload", deployment.deposit("deposit-1", "hall=4", third));
 
     deployment.daemon(leader).process().signal(SIGKILL);
     deployment.daemon(leader).process().wait();
-    session.note("the leader is killed; apply DIR", secondDaemon.ctl({"apply", deployment.declarations(), "--author", "bisi"}));
+    session.record("the leader is killed; apply DIR", secondDaemon.ctl({"apply", deployment.declarations(), "--author", "bisi"}));
     REQUIRE(secondDaemon.waitUntilReady());
-    session.note("POST /v1/completions, without the leader", deployment.draft("Notice", 2, {}, second));
+    session.record("POST /v1/completions, without the leader", deployment.draft("Notice", 2, {}, second));
     deployment.daemon(leader).start();
     REQUIRE(eventually([&secondDaemon] { return areAllLive(secondDaemon); }));
-    session.note("snapshot restore", secondDaemon.ctl({"snapshot", "restore", saved.file("state")}));
-    session.note("history", secondDaemon.ctl({"history"}));
+    session.record("snapshot restore", secondDaemon.ctl({"snapshot", "restore", saved.file("state")}));
+    session.record("history", secondDaemon.ctl({"history"}));
 
     session.replace("vm-" + std::to_string(second + 1) + "-", "vm-0-");
     session.replace("vm-" + std::to_string(third + 1) + "-", "vm-0-");
--- a/tests/support/session.cpp
+++ b/tests/support/session.cpp
@@ -8,23 +8,23 @@
 namespace cumindyke::test
 {
 
-void Session::note(const std::string &line, const std::string &result)
+void Session::record(const std::string &line, const std::string &result)
 {
     m_text += "$ " + line + "\n" + result + "\n";
 }
 
-void Session::note(const std::string &line, const ProcessResult &finished)
+void Session::record(const std::string &line, const ProcessResult &finished)
 {
-    note(line, finished.out + finished.error + "exit " + std::to_string(finished.exitCode));
+    record(line, finished.out + finished.error + "exit " + std::to_string(finished.exitCode));
 }
 
-void Session::note(const std::string &line, const HttpAnswer &answer)
+void Session::record(const std::string &line, const HttpAnswer &answer)
 {
     std::string result = "status " + std::to_string(answer.status) + "\n";
     for (const char *name : {"Content-Type", "X-Cumindyke-Outcome", "X-Cumindyke-Request", "Idempotent-Replayed", "Retry-After"}) {
         result += answer.header(name).empty() ? "" : std::string(name) + ": " + answer.header(name) + "\n";
     }
-    note(line, result + answer.body);
+    record(line, result + answer.body);
 }
 
 void Session::replace(const std::string &pattern, const std::string &by)
--- a/tests/support/session.h
+++ b/tests/support/session.h
@@ -14,9 +14,9 @@
 class Session
 {
 public:
-    void note(const std::string &line, const std::string &result);
-    void note(const std::string &line, const ProcessResult &finished);
-    void note(const std::string &line, const HttpAnswer &answer);
+    void record(const std::string &line, const std::string &result);
+    void record(const std::string &line, const ProcessResult &finished);
+    void record(const std::string &line, const HttpAnswer &answer);
     /// Makes equal what differs from run to run in this session, for example which VM leads.
     void replace(const std::string &pattern, const std::string &by);
     void compareWith(const std::string &name) const;
