--- a/tests/process/callerinputtest.cpp
+++ b/tests/process/callerinputtest.cpp
@@ -82,7 +82,7 @@
     RawConnection connection(deployment.daemonAddress());
     connection.send(completion(draftBody("long", 10'000)));
     connection.readUntil("data: ");
-    connection.closeSending();
+    connection.shutdownSending();
     connection.readAll();
     CHECK(eventually([&deployment] { return countEvents(deployment.drafting().log(), "cancel") == 1; }));
 }
--- a/tests/process/failurestest.cpp
+++ b/tests/process/failurestest.cpp
@@ -24,7 +24,7 @@
 void draftLater(Pending &pending, const TestDeployment &deployment, const std::string &prompt, int tokens, const HeaderList &headers, std::size_t vm = 0)
 {
     pending.push_back(std::async(std::launch::async, [&deployment, prompt, tokens, headers, vm] {
-        return recordOf(deployment.draft(prompt, tokens, headers, vm), expectedText(prompt, tokens));
+        return callerRecord(deployment.draft(prompt, tokens, headers, vm), expectedText(prompt, tokens));
     }));
 }
 
@@ -109,7 +109,7 @@
     for (std::size_t i = 0; i < 40; ++i) {
         pending.push_back(std::async(std::launch::async, [&deployment, i] {
             std::this_thread::sleep_for(std::chrono::milliseconds(20 * i));
-            return recordOf(deployment.deposit("deposit-7", "hall=3", i % 3), "", "deposit-7");
+            return callerRecord(deployment.deposit("deposit-7", "hall=3", i % 3), "", "deposit-7");
         }));
     }
     REQUIRE(eventually([&deployment] { return countEvents(deployment.history(), "run") > 0; }));
@@ -133,7 +133,7 @@
             std::vector<CallerRecord> records;
             for (std::size_t i = 0; !over && i < 2000; ++i) {
                 const std::string prompt = "notice " + std::to_string(caller) + "/" + std::to_string(i);
-                records.push_back(recordOf(deployment.draft(prompt, 10, {}, (caller + i) % 3), expectedText(prompt, 10)));
+                records.push_back(callerRecord(deployment.draft(prompt, 10, {}, (caller + i) % 3), expectedText(prompt, 10)));
             }
             return records;
         }));
--- a/tests/support/certificates.cpp
+++ b/tests/support/certificates.cpp
@@ -20,7 +20,7 @@
 namespace
 {
 
-constexpr long ValidSeconds = 24 * 3600;
+constexpr long ValiditySeconds = 24 * 3600;
 constexpr long X509Version3 = 2;
 
 using KeyPointer = std::unique_ptr<EVP_PKEY, decltype(&EVP_PKEY_free)>;
@@ -39,14 +39,14 @@
     X509_EXTENSION_free(extension);
 }
 
-/// A certificate that is not signed yet.
+/// Returns an unsigned certificate.
 CertificatePointer makeCertificate(EVP_PKEY *key, const std::string &name, long serial)
 {
     CertificatePointer certificate(X509_new(), &X509_free);
     X509_set_version(certificate.get(), X509Version3);
     ASN1_INTEGER_set(X509_get_serialNumber(certificate.get()), serial);
-    X509_gmtime_adj(X509_getm_notBefore(certificate.get()), -ValidSeconds);
-    X509_gmtime_adj(X509_getm_notAfter(certificate.get()), ValidSeconds);
+    X509_gmtime_adj(X509_getm_notBefore(certificate.get()), -ValiditySeconds);
+    X509_gmtime_adj(X509_getm_notAfter(certificate.get()), ValiditySeconds);
     X509_set_pubkey(certificate.get(), key);
     const auto *text = reinterpret_cast<const unsigned char *>(name.c_str());
     X509_NAME_add_entry_by_txt(X509_get_subject_name(certificate.get()), "CN", MBSTRING_ASC, text, -1, -1, 0);
--- a/tests/support/certificates.h
+++ b/tests/support/certificates.h
@@ -8,7 +8,7 @@
 namespace cumindyke::test
 {
 
-/// A certificate authority made for one test.
+/// A certificate authority with a new key for each test.
 class CertificateAuthority
 {
 public:
@@ -17,7 +17,7 @@
     CertificateAuthority(const CertificateAuthority &) = delete;
     CertificateAuthority &operator=(const CertificateAuthority &) = delete;
 
-    /// Writes a certificate for an IP address, its key and the authority's own certificate into a folder, in place of those there.
+    /// Writes a certificate for an IP address, its key and the authority's own certificate into a folder; existing files are replaced.
     TlsFiles issue(const std::string &folder, const std::string &ip);
 
 private:
--- a/tests/support/historychecker.cpp
+++ b/tests/support/historychecker.cpp
@@ -16,10 +16,10 @@
 using nlohmann::json;
 using Key = std::pair<std::string, std::string>;
 
-/// VMs learn of each other's queues with a delay; a lower tier sent out within it is no proof of a wrong order.
-constexpr std::int64_t CoordinationUs = 500'000;
+/// The VMs' knowledge of each other's queues is delayed: a request of a lower tier that is dispatched within this time is no violation.
+constexpr std::int64_t QueuePropagationDelayUs = 500'000;
 
-struct Admitted
+struct AdmittedRequest
 {
     std::string service;
     int rank = 0;
@@ -29,21 +29,21 @@
 
 struct History
 {
-    /// Runs on upstreams: request id to times.
+    /// Start times of the runs on upstreams, by request id.
     std::map<std::string, std::vector<std::int64_t>> runs;
-    std::map<std::string, Admitted> admitted;
+    std::map<std::string, AdmittedRequest> admitted;
     std::map<std::string, std::int64_t> dispatched;
-    /// Refused for want of room: request id to time.
-    std::map<std::string, std::int64_t> shed;
+    /// Times of refusals for lack of capacity, by request id.
+    std::map<std::string, std::int64_t> refused;
 };
 
-bool isRefusalForRoom(const json &entry)
+bool isCapacityRefusal(const json &entry)
 {
     const std::string kind = entry.value("kind", "");
     return entry.value("outcome", "") == "not-run" && (kind == "overloaded" || kind == "deadline-passed");
 }
 
-History read(const std::string &lines)
+History parseHistory(const std::string &lines)
 {
     History history;
     std::istringstream stream(lines);
@@ -58,7 +58,7 @@
         if (event == "run") {
             history.runs[id].push_back(at);
         } else if (event == "admitted") {
-            history.admitted[id] = Admitted{
+            history.admitted[id] = AdmittedRequest{
                 .service = entry.value("service", ""),
                 .rank = std::stoi(entry.value("rank", "0")),
                 .key = {entry.value("organisation", ""), entry.value("key", "")},
@@ -66,58 +66,58 @@
             };
         } else if (event == "dispatched") {
             history.dispatched[id] = at;
-        } else if (event == "given-up" && isRefusalForRoom(entry)) {
-            history.shed[id] = at;
+        } else if (event == "given-up" && isCapacityRefusal(entry)) {
+            history.refused[id] = at;
         }
     }
     return history;
 }
 
-void checkOneDispatch(const History &history, std::vector<Violation> &found)
+void checkOneDispatch(const History &history, std::vector<Violation> &violations)
 {
     for (const auto &[id, times] : history.runs) {
         if (times.size() > 1) {
-            found.push_back({Rule::OneDispatch, id + " ran " + std::to_string(times.size()) + " times"});
+            violations.push_back({Rule::OneDispatch, id + " ran " + std::to_string(times.size()) + " times"});
         }
     }
 }
 
-std::map<Key, std::set<std::string>> runsByKey(const History &history)
+std::map<Key, std::set<std::string>> requestIdsByKey(const History &history)
 {
-    std::map<Key, std::set<std::string>> byKey;
+    std::map<Key, std::set<std::string>> idsByKey;
     for (const auto &[id, times] : history.runs) {
         const auto admitted = history.admitted.find(id);
         if (admitted != history.admitted.end() && !admitted->second.key.second.empty()) {
-            byKey[admitted->second.key].insert(id);
+            idsByKey[admitted->second.key].insert(id);
         }
     }
-    return byKey;
+    return idsByKey;
 }
 
-void checkKeyedOnce(const std::map<Key, std::set<std::string>> &byKey, std::vector<Violation> &found)
+void checkKeyedOnce(const std::map<Key, std::set<std::string>> &idsByKey, std::vector<Violation> &violations)
 {
-    for (const auto &[key, ids] : byKey) {
+    for (const auto &[key, ids] : idsByKey) {
         if (ids.size() > 1) {
-            found.push_back({Rule::KeyedOnce, "key " + key.second + " ran under " + std::to_string(ids.size()) + " ids"});
+            violations.push_back({Rule::KeyedOnce, "key " + key.second + " ran under " + std::to_string(ids.size()) + " ids"});
         }
     }
 }
 
 void checkCallers(const History &history,
-                  const std::map<Key, std::set<std::string>> &byKey,
+                  const std::map<Key, std::set<std::string>> &idsByKey,
                   const std::vector<CallerRecord> &callers,
-                  std::vector<Violation> &found)
+                  std::vector<Violation> &violations)
 {
     for (const CallerRecord &caller : callers) {
         if (caller.whole && caller.text != caller.expected) {
-            found.push_back({Rule::WholeAndOwn, caller.id + " got '" + caller.text + "' for '" + caller.expected + "'"});
+            violations.push_back({Rule::WholeAndOwn, caller.id + " got '" + caller.text + "' for '" + caller.expected + "'"});
         }
         if (caller.outcome != "not-run") {
             continue;
         }
         std::set<std::string> ids{caller.id};
-        const auto keyed = byKey.find({caller.organisation, caller.key});
-        if (!caller.key.empty() && keyed != byKey.end()) {
+        const auto keyed = idsByKey.find({caller.organisation, caller.key});
+        if (!caller.key.empty() && keyed != idsByKey.end()) {
             ids.insert(keyed->second.begin(), keyed->second.end());
         }
         for (const std::string &id : ids) {
@@ -125,28 +125,28 @@
             if (id.empty() || runs == history.runs.end()) {
                 continue;
             }
-            // Under its own id it may never run; under its key an earlier run is enough.
+            // The request's own id must never run. Another id with the same key must not have run before the answer.
             if (id == caller.id || runs->second.front() < caller.answeredAtUs) {
-                found.push_back({Rule::TrueNotRun, "told not-run, but " + id + " ran"});
+                violations.push_back({Rule::TrueNotRun, "answered not-run, but " + id + " ran"});
             }
         }
     }
 }
 
-void checkTierOrder(const History &history, std::vector<Violation> &found)
+void checkTierOrder(const History &history, std::vector<Violation> &violations)
 {
-    for (const auto &[id, shedAt] : history.shed) {
-        const auto shed = history.admitted.find(id);
-        if (shed == history.admitted.end()) {
+    for (const auto &[id, refusedAt] : history.refused) {
+        const auto refused = history.admitted.find(id);
+        if (refused == history.admitted.end()) {
             continue;
         }
         for (const auto &[other, dispatchedAt] : history.dispatched) {
             const auto lower = history.admitted.find(other);
-            if (lower == history.admitted.end() || lower->second.service != shed->second.service || lower->second.rank <= shed->second.rank) {
+            if (lower == history.admitted.end() || lower->second.service != refused->second.service || lower->second.rank <= refused->second.rank) {
                 continue;
             }
-            if (dispatchedAt > shed->second.atUs + CoordinationUs && dispatchedAt < shedAt) {
-                found.push_back({Rule::TierOrder, id + " was refused after a lower one was sent out"});
+            if (dispatchedAt > refused->second.atUs + QueuePropagationDelayUs && dispatchedAt < refusedAt) {
+                violations.push_back({Rule::TierOrder, id + " was refused after a request of a lower tier was dispatched"});
             }
         }
     }
@@ -173,20 +173,20 @@
 
 std::vector<Violation> findViolations(const std::string &history, const std::vector<CallerRecord> &callers)
 {
-    const History events = read(history);
-    const std::map<Key, std::set<std::string>> byKey = runsByKey(events);
-    std::vector<Violation> found;
-    checkOneDispatch(events, found);
-    checkKeyedOnce(byKey, found);
-    checkCallers(events, byKey, callers, found);
-    checkTierOrder(events, found);
-    return found;
+    const History events = parseHistory(history);
+    const std::map<Key, std::set<std::string>> idsByKey = requestIdsByKey(events);
+    std::vector<Violation> violations;
+    checkOneDispatch(events, violations);
+    checkKeyedOnce(idsByKey, violations);
+    checkCallers(events, idsByKey, callers, violations);
+    checkTierOrder(events, violations);
+    return violations;
 }
 
-std::string describe(const std::vector<Violation> &findViolations)
+std::string describe(const std::vector<Violation> &violations)
 {
     std::string text;
-    for (const Violation &violation : findViolations) {
+    for (const Violation &violation : violations) {
         text += std::string(toString(violation.rule)) + ": " + violation.detail + "\n";
     }
     return text;
--- a/tests/support/historychecker.h
+++ b/tests/support/historychecker.h
@@ -4,35 +4,35 @@
 #include <string>
 #include <vector>
 
-/// Proves from what callers, daemons and stand-ins wrote that the rules of the brief held. Uses nothing of the program it judges.
+/// Checks the system's guarantees on the records of callers, daemons and fake upstreams. Uses no code of the checked program.
 namespace cumindyke::test
 {
 
-/// What one caller sent and got.
+/// A caller's request and the answer it received.
 struct CallerRecord
 {
-    /// The request's id in the answer; empty when there was none.
+    /// The request id given in the answer; empty when there was no answer.
     std::string id;
     /// The idempotency key, or empty.
     std::string key;
     std::string organisation = "egbe-ijo";
     /// "ran", "not-run", "unknown", or empty when the connection was lost.
     std::string outcome;
-    /// The answer claims to be whole.
+    /// Whether the answer has its end marker.
     bool whole = false;
     std::string text;
-    /// What the whole answer must be.
+    /// The text that a complete answer must have.
     std::string expected;
-    /// Monotonic microseconds at which the answer had come.
+    /// Monotonic time at which the answer had been received, in microseconds.
     std::int64_t answeredAtUs = 0;
 };
 
 enum class Rule {
-    OneDispatch, ///< no request id runs on two upstreams, or twice on one
-    KeyedOnce, ///< no key runs under two request ids
-    WholeAndOwn, ///< an answer that claims to be whole is the caller's own, complete
-    TrueNotRun, ///< what a caller was told "not run" had not run
-    TierOrder, ///< no higher tier was refused for want of room while a lower one of its service was sent out
+    OneDispatch, ///< no request id runs on two upstreams, or twice on the same one
+    KeyedOnce, ///< no idempotency key runs under two request ids
+    WholeAndOwn, ///< an answer with an end marker is complete and belongs to the caller's request
+    TrueNotRun, ///< a request answered with the outcome "not-run" did not run
+    TierOrder, ///< no request is refused for lack of capacity while requests of a lower tier of its service are dispatched
 };
 
 const char *toString(Rule rule);
@@ -43,10 +43,10 @@
     std::string detail;
 };
 
-/// All violations in a history: JSON lines of daemons (HistoryLog) and stand-ins, and the callers' records.
+/// Returns all violations in a history: the JSON lines of daemons (HistoryLog) and fake upstreams, and the callers' records.
 std::vector<Violation> findViolations(const std::string &history, const std::vector<CallerRecord> &callers);
 
-/// One line a violation, for a test's report; empty when all rules held.
-std::string describe(const std::vector<Violation> &findViolations);
+/// Returns one line per violation for the report of a test; empty without violations.
+std::string describe(const std::vector<Violation> &violations);
 
 }
--- a/tests/support/link.cpp
+++ b/tests/support/link.cpp
@@ -30,11 +30,11 @@
     return socketAddress;
 }
 
-struct Silence
+struct StallOpenConnections
 {
 };
 
-using LinkMessage = std::variant<Link::Mode, Silence>;
+using LinkMessage = std::variant<Link::Mode, StallOpenConnections>;
 
 }
 
@@ -43,11 +43,11 @@
 public:
     Private(const Address &listen, Address target)
         : m_target(std::move(target))
-        , m_mailbox(m_loop, [this](LinkMessage &&message) { handle(message); })
+        , m_mailbox(m_loop, [this](LinkMessage &&message) { handleMessage(message); })
     {
         const sockaddr_in address = toSocketAddress(listen);
         m_listener = evconnlistener_new_bind(m_loop.base(),
-                                             &Private::accepted,
+                                             &Private::onAccepted,
                                              this,
                                              LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
                                              -1,
@@ -61,9 +61,9 @@
         m_loop.stop();
         m_thread.join();
         evconnlistener_free(m_listener);
-        for (const Pair &pair : m_pairs) {
-            bufferevent_free(pair.caller);
-            bufferevent_free(pair.target);
+        for (const RelayedConnection &connection : m_connections) {
+            bufferevent_free(connection.caller);
+            bufferevent_free(connection.target);
         }
     }
     Private(const Private &) = delete;
@@ -75,43 +75,43 @@
     }
 
 private:
-    /// One connection: its two ends, and whether it was silenced for good.
-    struct Pair
+    /// A relayed connection: its two ends, and whether its bytes are discarded from now on.
+    struct RelayedConnection
     {
         bufferevent *caller = nullptr;
         bufferevent *target = nullptr;
         Private *link = nullptr;
-        bool silenced = false;
+        bool stalled = false;
     };
 
-    void handle(const LinkMessage &message)
+    void handleMessage(const LinkMessage &message)
     {
         if (const auto *mode = std::get_if<Mode>(&message)) {
             m_mode = *mode;
         } else {
-            for (Pair &pair : m_pairs) {
-                pair.silenced = true;
+            for (RelayedConnection &connection : m_connections) {
+                connection.stalled = true;
             }
         }
-        for (Pair &pair : m_pairs) {
-            setReading(pair);
-            transfer(pair, pair.caller);
-            transfer(pair, pair.target);
+        for (RelayedConnection &connection : m_connections) {
+            updateReading(connection);
+            forwardOrDrop(connection, connection.caller);
+            forwardOrDrop(connection, connection.target);
         }
     }
 
-    void setReading(Pair &pair) const
+    void updateReading(RelayedConnection &connection) const
     {
-        for (bufferevent *end : {pair.caller, pair.target}) {
+        for (bufferevent *end : {connection.caller, connection.target}) {
             m_mode == Mode::Hang ? bufferevent_disable(end, EV_READ) : bufferevent_enable(end, EV_READ);
         }
     }
 
-    void transfer(Pair &pair, bufferevent *from) const
+    void forwardOrDrop(RelayedConnection &connection, bufferevent *from) const
     {
-        bufferevent *to = from == pair.caller ? pair.target : pair.caller;
+        bufferevent *to = from == connection.caller ? connection.target : connection.caller;
         evbuffer *bytes = bufferevent_get_input(from);
-        const bool dropped = pair.silenced || m_mode == Mode::Drop || (m_mode == Mode::DropAnswers && from == pair.target);
+        const bool dropped = connection.stalled || m_mode == Mode::Drop || (m_mode == Mode::DropAnswers && from == connection.target);
         if (dropped) {
             evbuffer_drain(bytes, evbuffer_get_length(bytes));
         } else if (m_mode != Mode::Hang) {
@@ -119,39 +119,39 @@
         }
     }
 
-    static void accepted(evconnlistener * /*listener*/, evutil_socket_t socket, sockaddr * /*address*/, int /*length*/, void *self)
+    static void onAccepted(evconnlistener * /*listener*/, evutil_socket_t socket, sockaddr * /*address*/, int /*length*/, void *self)
     {
         auto *link = static_cast<Private *>(self);
-        Pair &pair = link->m_pairs.emplace_back();
-        pair.link = link;
-        pair.caller = bufferevent_socket_new(link->m_loop.base(), socket, BEV_OPT_CLOSE_ON_FREE);
-        pair.target = bufferevent_socket_new(link->m_loop.base(), -1, BEV_OPT_CLOSE_ON_FREE);
-        for (bufferevent *end : {pair.caller, pair.target}) {
-            bufferevent_setcb(end, &Private::readable, nullptr, &Private::ended, &pair);
+        RelayedConnection &connection = link->m_connections.emplace_back();
+        connection.link = link;
+        connection.caller = bufferevent_socket_new(link->m_loop.base(), socket, BEV_OPT_CLOSE_ON_FREE);
+        connection.target = bufferevent_socket_new(link->m_loop.base(), -1, BEV_OPT_CLOSE_ON_FREE);
+        for (bufferevent *end : {connection.caller, connection.target}) {
+            bufferevent_setcb(end, &Private::onReadable, nullptr, &Private::onClosed, &connection);
         }
         const sockaddr_in target = toSocketAddress(link->m_target);
-        bufferevent_socket_connect(pair.target, reinterpret_cast<const sockaddr *>(&target), sizeof target);
-        link->setReading(pair);
-        bufferevent_enable(pair.caller, EV_WRITE);
-        bufferevent_enable(pair.target, EV_WRITE);
+        bufferevent_socket_connect(connection.target, reinterpret_cast<const sockaddr *>(&target), sizeof target);
+        link->updateReading(connection);
+        bufferevent_enable(connection.caller, EV_WRITE);
+        bufferevent_enable(connection.target, EV_WRITE);
     }
 
-    static void readable(bufferevent *end, void *context)
+    static void onReadable(bufferevent *end, void *context)
     {
-        auto *pair = static_cast<Pair *>(context);
-        pair->link->transfer(*pair, end);
+        auto *connection = static_cast<RelayedConnection *>(context);
+        connection->link->forwardOrDrop(*connection, end);
     }
 
-    /// An end that closed: the other is closed too, unless the link is to be silent, when the other must not notice.
-    static void ended(bufferevent * /*end*/, short what, void *context)
+    /// Closes the other end as well when one end has closed, unless a fault is simulated: then the other end must not notice.
+    static void onClosed(bufferevent * /*end*/, short what, void *context)
     {
-        auto *pair = static_cast<Pair *>(context);
-        if (!(what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) || pair->silenced || pair->link->m_mode != Mode::Forward) {
+        auto *connection = static_cast<RelayedConnection *>(context);
+        if (!(what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) || connection->stalled || connection->link->m_mode != Mode::Forward) {
             return;
         }
-        bufferevent_free(pair->caller);
-        bufferevent_free(pair->target);
-        pair->link->m_pairs.remove_if([pair](const Pair &other) { return &other == pair; });
+        bufferevent_free(connection->caller);
+        bufferevent_free(connection->target);
+        connection->link->m_connections.remove_if([connection](const RelayedConnection &other) { return &other == connection; });
     }
 
     const Address m_target;
@@ -159,7 +159,7 @@
     Mailbox<LinkMessage> m_mailbox;
     evconnlistener *m_listener = nullptr;
     Mode m_mode = Mode::Forward;
-    std::list<Pair> m_pairs;
+    std::list<RelayedConnection> m_connections;
     std::thread m_thread;
 };
 
@@ -177,7 +177,7 @@
 
 void Link::stallOpenConnections()
 {
-    d->post(Silence{});
+    d->post(StallOpenConnections{});
 }
 
 }
--- a/tests/support/link.h
+++ b/tests/support/link.h
@@ -7,26 +7,26 @@
 namespace cumindyke::test
 {
 
-/// A TCP relay between two processes that can stop working the way networks do: without a word to either end.
+/// A TCP relay between two processes that simulates network faults: neither end is notified of them.
 class Link
 {
 public:
     enum class Mode {
         Forward,
-        Drop, ///< bytes vanish both ways, connections stay open, new ones open too
-        DropAnswers, ///< bytes towards the target arrive, those back vanish
+        Drop, ///< bytes are discarded in both directions; connections stay open and new ones are accepted
+        DropAnswers, ///< bytes to the target are forwarded, bytes from the target are discarded
         Hang, ///< nothing is read, so the senders' buffers fill up
     };
 
-    /// Listens at one address and connects to the other for each connection.
+    /// Listens at an address and opens a connection to the target for each accepted connection.
     Link(const Address &listen, const Address &target);
     ~Link();
     Link(const Link &) = delete;
     Link &operator=(const Link &) = delete;
 
-    /// For open connections and new ones, at once.
+    /// Applies to open and new connections immediately.
     void setMode(Mode mode);
-    /// The connections that are open now stay silent for good; new ones work.
+    /// Discards all further bytes of the connections that are open now; new connections work.
     void stallOpenConnections();
 
 private:
--- a/tests/support/processes.cpp
+++ b/tests/support/processes.cpp
@@ -26,16 +26,16 @@
 namespace
 {
 
-constexpr std::uint16_t ClaimPort = 8079;
+constexpr std::uint16_t ReservationPort = 8079;
 constexpr std::chrono::milliseconds PollInterval{10};
 
 }
 
-bool eventually(const std::function<bool()> &condition, std::chrono::seconds patience)
+bool eventually(const std::function<bool()> &condition, std::chrono::seconds timeout)
 {
-    const auto end = std::chrono::steady_clock::now() + patience;
+    const auto deadline = std::chrono::steady_clock::now() + timeout;
     while (!condition()) {
-        if (std::chrono::steady_clock::now() > end) {
+        if (std::chrono::steady_clock::now() > deadline) {
             return false;
         }
         std::this_thread::sleep_for(PollInterval);
@@ -56,28 +56,28 @@
     std::filesystem::remove_all(m_path, ignored);
 }
 
-/// A bound socket on the last address is the claim: the kernel gives it to one test only and frees it when the test ends.
+/// Reserves a prefix by a socket bound to its address 250: the kernel lets only one test bind it and releases it when the test ends.
 TestNetwork::TestNetwork()
 {
     for (int attempt = 0; attempt < 5000; ++attempt) {
         const int number = (static_cast<int>(getpid()) + attempt) % 60'000;
         const std::string prefix = "127." + std::to_string(2 + number / 250) + "." + std::to_string(1 + number % 250) + ".";
-        const int claim = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-        sockaddr_in address{.sin_family = AF_INET, .sin_port = htons(ClaimPort)};
+        const int reservationSocket = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+        sockaddr_in address{.sin_family = AF_INET, .sin_port = htons(ReservationPort)};
         inet_pton(AF_INET, (prefix + "250").c_str(), &address.sin_addr);
-        if (bind(claim, reinterpret_cast<const sockaddr *>(&address), sizeof address) == 0 && listen(claim, 1) == 0) {
+        if (bind(reservationSocket, reinterpret_cast<const sockaddr *>(&address), sizeof address) == 0 && listen(reservationSocket, 1) == 0) {
             m_prefix = prefix;
-            m_claim = claim;
+            m_reservationSocket = reservationSocket;
             return;
         }
-        close(claim);
+        close(reservationSocket);
     }
     FAIL("no free loopback addresses");
 }
 
 TestNetwork::~TestNetwork()
 {
-    close(m_claim);
+    close(m_reservationSocket);
 }
 
 std::string TestNetwork::host(int number) const
@@ -188,11 +188,14 @@
     return answer;
 }
 
-FakeUpstreamProcess::FakeUpstreamProcess(const TemporaryFolder &folder, const std::string &name, const std::string &host, const std::vector<std::string> &more)
+FakeUpstreamProcess::FakeUpstreamProcess(const TemporaryFolder &folder,
+                                         const std::string &name,
+                                         const std::string &host,
+                                         const std::vector<std::string> &extraArguments)
     : m_logFile(folder.file(name + ".runs"))
 {
     std::vector<std::string> command{std::string(CUMINDYKE_BIN) + "/fakeupstream", "--name", name, "--host", host, "--log", m_logFile};
-    command.insert(command.end(), more.begin(), more.end());
+    command.insert(command.end(), extraArguments.begin(), extraArguments.end());
     const std::string out = folder.file(name + ".out");
     m_process = std::make_unique<Process>(command, out, folder.file(name + ".error"));
     std::smatch match;
@@ -214,7 +217,7 @@
     REQUIRE(test::http(m_address, "POST", "/faults", {}, json).status == 200);
 }
 
-DaemonProcess::DaemonProcess(const TemporaryFolder &folder, const std::string &vm, const std::string &host, const std::string &more)
+DaemonProcess::DaemonProcess(const TemporaryFolder &folder, const std::string &vm, const std::string &host, const std::string &extraSettings)
     : m_vm(vm)
     , m_host(host)
     , m_settingsFile(folder.file(vm + ".toml"))
@@ -222,7 +225,7 @@
 {
     writeFile(m_settingsFile,
               "vm = \"" + vm + "\"\nhttp_address = \"" + host + ":8080\"\nrpc_address = \"" + host + ":8081\"\ndata_folder = \"" + folder.file(vm) + "\"\n"
-                  + more);
+                  + extraSettings);
     start();
 }
 
--- a/tests/support/processes.h
+++ b/tests/support/processes.h
@@ -12,17 +12,17 @@
 
 #include <sys/types.h>
 
-/// Real processes for tests: daemons, stand-in upstreams and the operators' tool, on loopback addresses of the test's own.
+/// Runs the system's processes in tests: daemons, fake upstreams and cumindykectl, on loopback addresses reserved for the test.
 namespace cumindyke::test
 {
 
-/// How long a condition is waited for. Generous: only a fault reaches it.
+/// Default time limit of waiting for a condition. Only a fault reaches it.
 constexpr std::chrono::seconds WaitTimeout{60};
 
-/// Checks a condition until it holds; false when the patience is over.
-bool eventually(const std::function<bool()> &condition, std::chrono::seconds patience = WaitTimeout);
+/// Polls a condition until it holds; returns false after the timeout.
+bool eventually(const std::function<bool()> &condition, std::chrono::seconds timeout = WaitTimeout);
 
-/// A folder that is removed at the end.
+/// A temporary folder, which the destructor removes.
 class TemporaryFolder
 {
 public:
@@ -44,7 +44,7 @@
     std::string m_path;
 };
 
-/// Loopback addresses 127.A.B.1 to 127.A.B.200 that no other test on this machine uses meanwhile: one for each "VM" of the test.
+/// Reserves the loopback addresses 127.A.B.1 to 127.A.B.200 against other tests on this machine: one for each simulated VM.
 class TestNetwork
 {
 public:
@@ -57,21 +57,21 @@
 
 private:
     std::string m_prefix;
-    int m_claim = -1;
+    int m_reservationSocket = -1;
 };
 
-/// A child process; killed at the end of the test if it still runs.
+/// A child process; the destructor kills it if it still runs.
 class Process
 {
 public:
-    /// Output goes to the files.
+    /// Starts the command; its output is appended to the files.
     Process(const std::vector<std::string> &command, const std::string &outFile, const std::string &errorFile);
     ~Process();
     Process(const Process &) = delete;
     Process &operator=(const Process &) = delete;
 
     void signal(int number) const;
-    /// The exit code, or 128 + the signal that ended it.
+    /// Waits for the exit and returns the exit code, or 128 + the number of the signal that ended the process.
     int wait();
     bool running();
     pid_t pid() const
@@ -84,6 +84,7 @@
     std::optional<int> m_exitCode;
 };
 
+/// The exit code and the output of a program.
 struct ProcessResult
 {
     int exitCode = 0;
@@ -91,12 +92,12 @@
     std::string error;
 };
 
-/// Runs a program of build/bin to its end.
+/// Runs a program of build/bin until it exits.
 ProcessResult run(const std::vector<std::string> &command);
 
 struct HttpAnswer
 {
-    /// 0 when there was none.
+    /// The HTTP status; 0 without an answer.
     int status = 0;
     HeaderList headers;
     std::string body;
@@ -105,22 +106,22 @@
     std::string header(const std::string &name) const;
 };
 
-/// One HTTP call, blocking.
+/// Sends an HTTP request and waits for the answer.
 HttpAnswer http(const Address &address, const std::string &method, const std::string &target, const HeaderList &headers = {}, const std::string &body = {});
 
-/// A stand-in upstream process.
+/// A process of the fake upstream.
 class FakeUpstreamProcess
 {
 public:
-    FakeUpstreamProcess(const TemporaryFolder &folder, const std::string &name, const std::string &host, const std::vector<std::string> &more = {});
+    FakeUpstreamProcess(const TemporaryFolder &folder, const std::string &name, const std::string &host, const std::vector<std::string> &extraArguments = {});
 
     const Address &address() const
     {
         return m_address;
     }
-    /// The runs, one JSON object a line.
+    /// The events of its requests, one JSON object per line.
     std::string log() const;
-    /// Sets faults (JSON).
+    /// Sets the faults to simulate, as JSON.
     void setFaults(const std::string &json) const;
     Process &process()
     {
@@ -133,12 +134,12 @@
     std::unique_ptr<Process> m_process;
 };
 
-/// A daemon process on ports 8080 and 8081 of its own address.
+/// A daemon process on ports 8080 (HTTP) and 8081 (RPC) of its own address.
 class DaemonProcess
 {
 public:
-    /// Writes the settings and starts the daemon; "more" is added to the settings.
-    DaemonProcess(const TemporaryFolder &folder, const std::string &vm, const std::string &host, const std::string &more = {});
+    /// Writes the settings, with the additional ones appended, and starts the daemon.
+    DaemonProcess(const TemporaryFolder &folder, const std::string &vm, const std::string &host, const std::string &extraSettings = {});
 
     void start();
     bool waitUntilReady() const;
@@ -166,6 +167,7 @@
     std::unique_ptr<Process> m_process;
 };
 
+/// Returns the content of a file; empty when it cannot be read.
 std::string contentOf(const std::string &file);
 void writeFile(const std::string &file, const std::string &content);
 
--- a/tests/support/rawconnection.cpp
+++ b/tests/support/rawconnection.cpp
@@ -19,9 +19,9 @@
     if (receiveBufferBytes > 0) {
         setsockopt(m_socket, SOL_SOCKET, SO_RCVBUF, &receiveBufferBytes, sizeof receiveBufferBytes);
     }
-    const timeval patience{.tv_sec = WaitTimeout.count(), .tv_usec = 0};
-    setsockopt(m_socket, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
-    setsockopt(m_socket, SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
+    const timeval timeout{.tv_sec = WaitTimeout.count(), .tv_usec = 0};
+    setsockopt(m_socket, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+    setsockopt(m_socket, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
     sockaddr_in to{.sin_family = AF_INET, .sin_port = htons(address.port)};
     inet_pton(AF_INET, address.host.c_str(), &to.sin_addr);
     REQUIRE(connect(m_socket, reinterpret_cast<const sockaddr *>(&to), sizeof to) == 0);
@@ -44,7 +44,7 @@
     return true;
 }
 
-void RawConnection::closeSending() const
+void RawConnection::shutdownSending() const
 {
     shutdown(m_socket, SHUT_WR);
 }
@@ -52,14 +52,14 @@
 std::string RawConnection::readUntil(const std::string &text)
 {
     std::array<char, 4096> buffer{};
-    while (text.empty() || m_read.find(text) == std::string::npos) {
+    while (text.empty() || m_received.find(text) == std::string::npos) {
         const ssize_t got = recv(m_socket, buffer.data(), buffer.size(), 0);
         if (got <= 0) {
             break;
         }
-        m_read.append(buffer.data(), static_cast<std::size_t>(got));
+        m_received.append(buffer.data(), static_cast<std::size_t>(got));
     }
-    return m_read;
+    return m_received;
 }
 
 }
--- a/tests/support/rawconnection.h
+++ b/tests/support/rawconnection.h
@@ -8,7 +8,7 @@
 namespace cumindyke::test
 {
 
-/// A TCP connection on which a test sends any bytes it likes.
+/// A TCP connection on which a test sends arbitrary bytes.
 class RawConnection
 {
 public:
@@ -19,9 +19,9 @@
 
     /// False when the peer has closed the connection.
     bool send(std::string_view bytes) const;
-    /// No more bytes come from here; answers can still be read.
-    void closeSending() const;
-    /// Reads until what was read contains the text, the peer closes, or the patience of tests is over.
+    /// Shuts down the sending direction; answers can still be read.
+    void shutdownSending() const;
+    /// Reads until the bytes read contain the text, the peer closes the connection, or WaitTimeout is over. Returns all bytes read so far.
     std::string readUntil(const std::string &text);
     std::string readAll()
     {
@@ -30,7 +30,7 @@
 
 private:
     int m_socket;
-    std::string m_read;
+    std::string m_received;
 };
 
 }
--- a/tests/support/session.cpp
+++ b/tests/support/session.cpp
@@ -8,28 +8,28 @@
 namespace cumindyke::test
 {
 
-void Session::record(const std::string &line, const std::string &result)
+void Session::record(const std::string &command, const std::string &result)
 {
-    m_text += "$ " + line + "\n" + result + "\n";
+    m_text += "$ " + command + "\n" + result + "\n";
 }
 
-void Session::record(const std::string &line, const ProcessResult &finished)
+void Session::record(const std::string &command, const ProcessResult &result)
 {
-    record(line, finished.out + finished.error + "exit " + std::to_string(finished.exitCode));
+    record(command, result.out + result.error + "exit " + std::to_string(result.exitCode));
 }
 
-void Session::record(const std::string &line, const HttpAnswer &answer)
+void Session::record(const std::string &command, const HttpAnswer &answer)
 {
     std::string result = "status " + std::to_string(answer.status) + "\n";
     for (const char *name : {"Content-Type", "X-Cumindyke-Outcome", "X-Cumindyke-Request", "Idempotent-Replayed", "Retry-After"}) {
         result += answer.header(name).empty() ? "" : std::string(name) + ": " + answer.header(name) + "\n";
     }
-    record(line, result + answer.body);
+    record(command, result + answer.body);
 }
 
-void Session::replace(const std::string &pattern, const std::string &by)
+void Session::replace(const std::string &pattern, const std::string &replacement)
 {
-    m_text = std::regex_replace(m_text, std::regex(pattern), by);
+    m_text = std::regex_replace(m_text, std::regex(pattern), replacement);
 }
 
 std::string Session::normalised() const
--- a/tests/support/session.h
+++ b/tests/support/session.h
@@ -7,18 +7,18 @@
 namespace cumindyke::test
 {
 
-/// A whole session of operators and callers as text, compared with the recorded one in tests/golden.
+/// Records a session of operators and callers as text and compares it with the golden file in tests/golden.
 ///
-/// Only what is truly free is made equal: addresses and the random part of request ids. CUMINDYKE_RECORD=1 writes the session as the
-/// new record, for a change of behaviour that is reviewed with it.
+/// Addresses and the random part of request ids are normalised, nothing else. With CUMINDYKE_RECORD=1 the session overwrites the golden
+/// file; the change of the file is then reviewed with the change of behaviour.
 class Session
 {
 public:
-    void record(const std::string &line, const std::string &result);
-    void record(const std::string &line, const ProcessResult &finished);
-    void record(const std::string &line, const HttpAnswer &answer);
-    /// Makes equal what differs from run to run in this session, for example which VM leads.
-    void replace(const std::string &pattern, const std::string &by);
+    void record(const std::string &command, const std::string &result);
+    void record(const std::string &command, const ProcessResult &result);
+    void record(const std::string &command, const HttpAnswer &answer);
+    /// Normalises further text that differs between runs, for example which VM is the leader.
+    void replace(const std::string &pattern, const std::string &replacement);
     void compareWith(const std::string &name) const;
 
 private:
--- a/tests/support/testdeployment.cpp
+++ b/tests/support/testdeployment.cpp
@@ -18,7 +18,7 @@
 
 using nlohmann::json;
 
-constexpr const char *Declared = R"(
+constexpr const char *DefaultDeclarations = R"(
 [[tier]]
 name = "committee"
 rank = 0
@@ -52,19 +52,19 @@
 
 TestDeployment::TestDeployment(const TestDeploymentOptions &options)
 {
-    std::string declared = Declared + options.extraDeclarations;
+    std::string declarations = DefaultDeclarations + options.extraDeclarations;
     int host = 11;
     for (int i = 1; i <= options.draftingUpstreams; ++i) {
         const std::string name = "drafting-" + std::to_string(i);
         m_drafting.push_back(std::make_unique<FakeUpstreamProcess>(m_folder, name, m_network.host(host++), options.upstreamArguments));
-        declared += upstreamDeclaration(name, "drafting", m_drafting.back()->address(), options.slots);
+        declarations += upstreamDeclaration(name, "drafting", m_drafting.back()->address(), options.slots);
     }
     for (int i = 1; i <= options.bookingUpstreams; ++i) {
         const std::string name = "booking-" + std::to_string(i);
         m_booking.push_back(std::make_unique<FakeUpstreamProcess>(m_folder, name, m_network.host(host++), options.upstreamArguments));
-        declared += upstreamDeclaration(name, "booking", m_booking.back()->address(), options.slots);
+        declarations += upstreamDeclaration(name, "booking", m_booking.back()->address(), options.slots);
     }
-    writeFile(m_declarations.file("office.toml"), declared);
+    writeFile(m_declarations.file("office.toml"), declarations);
     startDaemons(options);
     const ProcessResult applied = daemon().ctl({"apply", m_declarations.path()});
     INFO(applied.out + applied.error);
@@ -92,10 +92,10 @@
     }
 }
 
-HttpAnswer TestDeployment::draft(const std::string &prompt, int tokens, const HeaderList &more, std::size_t vm) const
+HttpAnswer TestDeployment::draft(const std::string &prompt, int tokens, const HeaderList &extraHeaders, std::size_t vm) const
 {
     HeaderList headers = ApiKeyHeaders;
-    headers.insert(headers.end(), more.begin(), more.end());
+    headers.insert(headers.end(), extraHeaders.begin(), extraHeaders.end());
     return http(m_daemons.at(vm)->http(), "POST", "/v1/completions", headers, draftBody(prompt, tokens));
 }
 
@@ -125,7 +125,7 @@
     return text;
 }
 
-CallerRecord recordOf(const HttpAnswer &answer, const std::string &expected, const std::string &key)
+CallerRecord callerRecord(const HttpAnswer &answer, const std::string &expected, const std::string &key)
 {
     const StreamedText streamed = streamedText(answer.body);
     return CallerRecord{
