--- a/tests/packaging/packagingtest.cpp
+++ b/tests/packaging/packagingtest.cpp
@@ -13,8 +13,8 @@
 std::set<std::string> commandsIn(const std::string &help)
 {
     std::set<std::string> commands;
-    static const std::regex Line("\n  ([a-z-]+) ");
-    for (std::sregex_iterator match(help.begin(), help.end(), Line); match != std::sregex_iterator(); ++match) {
+    static const std::regex CommandPattern("\n  ([a-z-]+) ");
+    for (std::sregex_iterator match(help.begin(), help.end(), CommandPattern); match != std::sregex_iterator(); ++match) {
         commands.insert((*match)[1]);
     }
     return commands;
@@ -38,7 +38,7 @@
     }
 }
 
-TEST_CASE("every command of cumindykectl explains itself and refuses unknown options")
+TEST_CASE("every command of cumindykectl has a help text and refuses unknown options")
 {
     for (const std::string &command : commandsIn(run({"cumindykectl", "--help"}).out)) {
         INFO(command);
@@ -47,7 +47,7 @@
     }
 }
 
-TEST_CASE("wrong settings are refused with file, line, key and remedy, and nothing starts")
+TEST_CASE("invalid settings are refused with file, line, key and reason, and the daemon does not start")
 {
     const TemporaryFolder folder;
     const std::string file = folder.file("settings.toml");
@@ -60,7 +60,7 @@
     CHECK(run({"cumindyked", "--settings", file}).exitCode == 2);
 }
 
-TEST_CASE("the settings file that is installed is valid")
+TEST_CASE("the installed settings file is valid")
 {
     CHECK(run({"cumindyked", "--settings", CUMINDYKE_SOURCE "/packaging/settings.toml", "--check"}).exitCode == 0);
 }
--- a/tests/process/callerinputtest.cpp
+++ b/tests/process/callerinputtest.cpp
@@ -18,7 +18,7 @@
         + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/// The daemon answers 4xx to all of them, runs none, and serves the next caller.
+/// Sends the bytes to the daemon and checks that it answers with a 4xx status.
 void checkRefused(const TestDeployment &deployment, const std::string &bytes)
 {
     RawConnection connection(deployment.daemonAddress());
@@ -30,7 +30,8 @@
 
 }
 
-TEST_CASE("wrong requests get a clear refusal and nothing runs")
+// The daemon also serves the next valid request.
+TEST_CASE("malformed requests are refused with a 4xx status and do not run")
 {
     TestDeployment deployment;
     const std::string deep(2'000'000, '[');
@@ -62,7 +63,7 @@
     CHECK(streamedText(deployment.draft("x", 2).body).whole);
 }
 
-TEST_CASE("pipelined requests are answered whole and in order")
+TEST_CASE("pipelined requests are answered completely and in order")
 {
     TestDeployment deployment;
     RawConnection connection(deployment.daemonAddress());
@@ -74,9 +75,9 @@
     CHECK(countEvents(deployment.drafting().log(), "run") == 2);
 }
 
-// A caller that closes its sending side counts as gone, since many clients that are killed look just so: the stream is cancelled at the
-// engine, and the answer ends.
-TEST_CASE("a half-closed connection counts as the caller's departure")
+// A caller that closes its sending side counts as disconnected, since the connections of many killed clients look the same: the stream is
+// cancelled at the engine and the answer ends.
+TEST_CASE("a half-closed connection cancels the caller's stream at the engine")
 {
     TestDeployment deployment;
     RawConnection connection(deployment.daemonAddress());
@@ -87,9 +88,9 @@
     CHECK(eventually([&deployment] { return countEvents(deployment.drafting().log(), "cancel") == 1; }));
 }
 
-// The caller that reads nothing for a while still gets its whole answer. The engine is far faster than the caller: the daemon stops
-// reading from the engine when 256 KiB wait for the caller, so the rest waits in the engine's and the kernel's buffers, not in the daemon.
-TEST_CASE("a caller that reads slowly holds its upstream back and loses nothing")
+// The engine is far faster than the caller. The daemon stops reading from the engine when 256 KiB wait for the caller, so the rest waits in
+// the buffers of the engine and the kernel and the daemon's memory stays bounded.
+TEST_CASE("a caller that reads slowly pauses reading from its upstream and gets its complete answer")
 {
     constexpr int Tokens = 40'000;
     TestDeployment deployment(TestDeploymentOptions{.upstreamArguments = {"--step-ms", "0"}});
@@ -102,9 +103,9 @@
     CHECK(countEvents(deployment.drafting().log(), "run") == 1);
 }
 
-// The slow caller is told that it took too long and is cut off; others are served meanwhile. It sends a byte of its head again and again,
-// so libevent's timeout, which starts anew with each byte, never passes; the limit on the whole request does.
-TEST_CASE("a caller that sends a request byte by byte for too long is cut off")
+// Each byte restarts libevent's timeout, which therefore never expires; only the limit on the whole request ends the connection. Other
+// callers are served meanwhile.
+TEST_CASE("a request that is sent byte by byte beyond the read limit is answered 408 and its connection is closed")
 {
     TestDeployment deployment(TestDeploymentOptions{.extraSettings = "request_read_limit_ms = 300\n"});
     RawConnection slow(deployment.daemonAddress());
--- a/tests/process/figurestest.cpp
+++ b/tests/process/figurestest.cpp
@@ -10,54 +10,54 @@
 using namespace cumindyke;
 using namespace cumindyke::test;
 
-// Measurements, not checks: hidden, run by name for docs/measurements/request-path.md. They print and assert nothing about time.
+// Measurements for docs/measurements/request-path.md. They are hidden, are run by name, and print times without checking them.
 
 namespace
 {
 
-/// Calls on one loop, a fixed number at once, until a total has ended.
+/// Sends a total number of requests on one event loop, with a fixed number in flight, and prints throughput and latencies.
 class ClosedLoop
 {
 public:
-    ClosedLoop(UpstreamRequest request, int atOnce, int total)
+    ClosedLoop(UpstreamRequest request, int concurrency, int total)
         : m_request(std::move(request))
         , m_total(total)
     {
-        m_calls.resize(static_cast<std::size_t>(atOnce));
+        m_calls.resize(static_cast<std::size_t>(concurrency));
     }
 
     void run(const std::string &name)
     {
         const TimePoint start = EventLoop::now();
         for (std::size_t i = 0; i < m_calls.size(); ++i) {
-            next(i);
+            startCall(i);
         }
         m_loop.run();
         const double seconds = std::chrono::duration<double>(EventLoop::now() - start).count();
         std::ranges::sort(m_latencies);
-        const auto at = [this](double share) {
+        const auto percentile = [this](double share) {
             return std::chrono::duration<double, std::milli>(m_latencies[static_cast<std::size_t>(share * (m_latencies.size() - 1))]).count();
         };
-        std::cout << name << ": " << m_latencies.size() / seconds << " requests/s, p50 " << at(0.5) << " ms, p99 " << at(0.99) << " ms, failed " << m_failed
-                  << "\n";
+        std::cout << name << ": " << m_latencies.size() / seconds << " requests/s, p50 " << percentile(0.5) << " ms, p99 " << percentile(0.99) << " ms, failed "
+                  << m_failed << "\n";
     }
 
 private:
-    void next(std::size_t index)
+    void startCall(std::size_t index)
     {
         if (m_started++ >= m_total) {
             return;
         }
         const TimePoint start = EventLoop::now();
-        // The stand-in knows requests by their id.
+        // The fake upstream identifies requests by their id.
         m_request.id = RequestId{"figure-" + std::to_string(start.time_since_epoch().count()) + "-" + std::to_string(index)};
         m_calls[index] = std::make_unique<UpstreamCall>(m_loop, m_request, ProgressTimeouts{});
-        m_calls[index]->finished().connect([this, index, start] { done(index, start, false); });
-        m_calls[index]->failed().connect([this, index, start](CallFailure) { done(index, start, true); });
+        m_calls[index]->finished().connect([this, index, start] { onCallEnded(index, start, false); });
+        m_calls[index]->failed().connect([this, index, start](CallFailure) { onCallEnded(index, start, true); });
         m_calls[index]->start();
     }
 
-    void done(std::size_t index, TimePoint start, bool failed)
+    void onCallEnded(std::size_t index, TimePoint start, bool failed)
     {
         m_failed += failed ? 1 : 0;
         m_latencies.push_back(EventLoop::now() - start);
@@ -65,7 +65,7 @@
             m_loop.stop();
             return;
         }
-        next(index);
+        startCall(index);
     }
 
     EventLoop m_loop;
@@ -86,8 +86,8 @@
     return resident * static_cast<std::size_t>(sysconf(_SC_PAGESIZE));
 }
 
-/// Opens streams and holds them; prints the daemon's memory for each.
-void holdOpen(TestDeployment &deployment, const std::string &name, int count, int awaitHeads)
+/// Opens streams, keeps them open and prints the daemon's memory per stream.
+void measureOpenStreams(TestDeployment &deployment, const std::string &name, int count, int expectedHeads)
 {
     EventLoop loop;
     int heads = 0;
@@ -112,15 +112,15 @@
         calls.back()->failed().connect([&failed](CallFailure) { ++failed; });
         calls.back()->start();
     }
-    int rounds = 0;
-    Timer look(loop, [&] {
-        if (heads + failed >= awaitHeads && ++rounds > 20) {
+    int pollsAfterHeads = 0;
+    Timer poll(loop, [&] {
+        if (heads + failed >= expectedHeads && ++pollsAfterHeads > 20) {
             loop.stop();
         }
     });
-    look.startEvery(std::chrono::milliseconds(100));
-    Timer patience(loop, [&loop] { loop.stop(); });
-    patience.startOnce(std::chrono::seconds(90));
+    poll.startEvery(std::chrono::milliseconds(100));
+    Timer limit(loop, [&loop] { loop.stop(); });
+    limit.startOnce(std::chrono::seconds(90));
     loop.run();
     const std::size_t after = residentBytes(deployment.daemon().process().pid());
     std::cout << name << ": " << count << " sent, " << heads << " streaming, " << failed << " failed, "
@@ -129,25 +129,25 @@
 
 }
 
-TEST_CASE("figures: through the daemon against straight to the stand-in", "[.figures]")
+TEST_CASE("figures: through the daemon and directly at the fake upstream", "[.figures]")
 {
     TestDeployment deployment(TestDeploymentOptions{.slots = 256, .upstreamArguments = {"--step-ms", "1", "--max-batch", "256"}});
     const UpstreamRequest draft{
         .address = deployment.daemonAddress(), .method = "POST", .target = "/v1/completions", .headers = ApiKeyHeaders, .body = draftBody("notice", 4)};
-    const UpstreamRequest look{.address = deployment.daemonAddress(), .method = "GET", .target = "/services/booking/slots", .headers = ApiKeyHeaders};
-    UpstreamRequest straightDraft = draft;
-    straightDraft.address = deployment.drafting().address();
-    UpstreamRequest straightLook = look;
-    straightLook.address = deployment.booking().address();
-    straightLook.target = "/slots";
-    for (const int atOnce : {1, 16, 64}) {
-        const std::string name = ", " + std::to_string(atOnce) + " at once";
-        const int total = atOnce == 1 ? 300 : 4000;
+    const UpstreamRequest lookup{.address = deployment.daemonAddress(), .method = "GET", .target = "/services/booking/slots", .headers = ApiKeyHeaders};
+    UpstreamRequest directDraft = draft;
+    directDraft.address = deployment.drafting().address();
+    UpstreamRequest directLookup = lookup;
+    directLookup.address = deployment.booking().address();
+    directLookup.target = "/slots";
+    for (const int concurrency : {1, 16, 64}) {
+        const std::string name = ", " + std::to_string(concurrency) + " at once";
+        const int total = concurrency == 1 ? 300 : 4000;
         for (int round = 0; round < 3; ++round) {
-            ClosedLoop(straightDraft, atOnce, total).run("model, straight" + name);
-            ClosedLoop(draft, atOnce, total).run("model, daemon" + name);
-            ClosedLoop(straightLook, atOnce, total).run("plain, straight" + name);
-            ClosedLoop(look, atOnce, total).run("plain, daemon" + name);
+            ClosedLoop(directDraft, concurrency, total).run("model, straight" + name);
+            ClosedLoop(draft, concurrency, total).run("model, daemon" + name);
+            ClosedLoop(directLookup, concurrency, total).run("plain, straight" + name);
+            ClosedLoop(lookup, concurrency, total).run("plain, daemon" + name);
         }
     }
 }
@@ -155,11 +155,11 @@
 TEST_CASE("figures: memory of open streams", "[.figures]")
 {
     TestDeployment deployment(TestDeploymentOptions{.slots = 20'000, .upstreamArguments = {"--step-ms", "1000", "--max-batch", "20000"}});
-    holdOpen(deployment, "streaming", 9'000, 9'000);
+    measureOpenStreams(deployment, "streaming", 9'000, 9'000);
 }
 
 TEST_CASE("figures: memory of waiting requests", "[.figures]")
 {
     TestDeployment deployment(TestDeploymentOptions{.slots = 1, .upstreamArguments = {"--step-ms", "1000"}});
-    holdOpen(deployment, "waiting", 9'000, 1);
+    measureOpenStreams(deployment, "waiting", 9'000, 1);
 }
--- a/tests/process/keyedrequeststest.cpp
+++ b/tests/process/keyedrequeststest.cpp
@@ -9,9 +9,8 @@
 using namespace cumindyke;
 using namespace cumindyke::test;
 
-// Every caller sees the same receipt. Ten sendings of one deposit arrive while the first runs for half a second, one comes after its
-// end, and the booking service runs once.
-TEST_CASE("all sendings of one deposit get one answer and it runs once")
+// Ten requests with the same key arrive while the first one runs for half a second, and another one after its end.
+TEST_CASE("all resends of a deposit get the same answer and it runs once")
 {
     TestDeployment deployment;
     deployment.booking().setFaults(R"({"plain_delay_ms":500})");
@@ -36,7 +35,7 @@
     CHECK(countEvents(deployment.booking().log(), "run") == 1);
 }
 
-TEST_CASE("a key used with another payload is refused and nothing runs for it")
+TEST_CASE("a key that is reused with another payload is refused and the request does not run")
 {
     TestDeployment deployment;
     REQUIRE(deployment.deposit("deposit-7", "hall=3").status == 200);
@@ -46,9 +45,9 @@
     CHECK(countEvents(deployment.booking().log(), "run") == 1);
 }
 
-// The first caller sees "unknown" and so does every later one: the service is killed after it took the deposit, so nobody can tell
-// whether it was paid. A second run might pay twice.
-TEST_CASE("a deposit whose service dies is unknown for every sending and runs once")
+// The service is killed after it received the deposit, so it cannot be determined whether the deposit was made. A second run might make it
+// twice.
+TEST_CASE("a deposit whose service is killed is unknown for every resend and runs once")
 {
     TestDeployment deployment(TestDeploymentOptions{.bookingUpstreams = 2});
     deployment.booking(0).setFaults(R"({"plain_delay_ms":20000})");
@@ -61,14 +60,14 @@
     const HttpAnswer answer = first.get();
     CHECK(answer.status == 502);
     CHECK(answer.header("X-Cumindyke-Outcome") == "unknown");
-    const HttpAnswer again = deployment.deposit("deposit-7", "hall=3");
-    CHECK(again.status == 502);
-    CHECK(again.header("X-Cumindyke-Outcome") == "unknown");
+    const HttpAnswer resent = deployment.deposit("deposit-7", "hall=3");
+    CHECK(resent.status == 502);
+    CHECK(resent.header("X-Cumindyke-Outcome") == "unknown");
     CHECK(countEvents(deployment.booking(1 - killed).log(), "run") == 0);
 }
 
-// The caller that left finds its receipt when it comes back: a deposit that went out runs to its end without its caller.
-TEST_CASE("a deposit whose caller left is answered to the next sending")
+// A deposit that was sent to the service runs to its end without its caller, and the answer is saved for the resend.
+TEST_CASE("a deposit whose caller disconnected is answered to the next resend")
 {
     TestDeployment deployment;
     deployment.booking().setFaults(R"({"plain_delay_ms":600})");
@@ -86,16 +85,16 @@
                                                },
                                                ProgressTimeouts{});
     call->start();
-    Timer look(loop, [&deployment, &loop] {
+    Timer poll(loop, [&deployment, &loop] {
         if (countEvents(deployment.booking().log(), "run") == 1) {
             loop.stop();
         }
     });
-    look.startEvery(std::chrono::milliseconds(10));
+    poll.startEvery(std::chrono::milliseconds(10));
     loop.run();
     call.reset();
-    Timer rest(loop, [&loop] { loop.stop(); });
-    rest.startOnce(std::chrono::milliseconds(1));
+    Timer runOnce(loop, [&loop] { loop.stop(); });
+    runOnce.startOnce(std::chrono::milliseconds(1));
     loop.run();
     const HttpAnswer answer = deployment.deposit("deposit-7", "hall=3");
     CHECK(answer.status == 200);
@@ -103,9 +102,9 @@
     CHECK(countEvents(deployment.booking().log(), "run") == 1);
 }
 
-// The caller that sends again after the daemon was killed hears "unknown" as long as the outcome is lost, or the answer if its end was
-// saved; in neither case does the deposit run again. The claim is in the log and outlives the process.
-TEST_CASE("a daemon killed while a deposit runs never lets it run again")
+// The claim is in the replicated log and survives the daemon's process, while the outcome of the run
+// is lost unless its end was committed before the kill.
+TEST_CASE("a deposit whose daemon is killed is unknown after the restart and does not run again")
 {
     TestDeployment deployment;
     deployment.booking().setFaults(R"({"plain_delay_ms":3000})");
@@ -117,16 +116,16 @@
     deployment.daemon().start();
     REQUIRE(deployment.daemon().waitUntilReady());
     for (int i = 0; i < 3; ++i) {
-        const HttpAnswer again = deployment.deposit("deposit-7", "hall=3");
-        CHECK(again.status == 502);
-        CHECK(again.header("X-Cumindyke-Outcome") == "unknown");
+        const HttpAnswer resent = deployment.deposit("deposit-7", "hall=3");
+        CHECK(resent.status == 502);
+        CHECK(resent.header("X-Cumindyke-Outcome") == "unknown");
     }
     CHECK(countEvents(deployment.booking().log(), "run") == 1);
 }
 
-// The callers see whole answers and the process ends by itself: SIGTERM makes the daemon unready at once, what waits and runs goes on to
-// its end, a second SIGTERM does not shorten it, and a new request is refused unrun.
-TEST_CASE("a graceful shutdown ends no request early")
+// SIGTERM makes the daemon unready at once. Waiting and running requests finish, a second SIGTERM does not shorten the shutdown, a new
+// request is refused and does not run, and the process then exits by itself.
+TEST_CASE("a graceful shutdown finishes all waiting and running requests")
 {
     TestDeployment deployment(TestDeploymentOptions{.slots = 2, .upstreamArguments = {"--step-ms", "20"}});
     std::vector<std::future<HttpAnswer>> answers;
@@ -150,9 +149,9 @@
     CHECK(countEvents(deployment.drafting().log(), "run") == 6);
 }
 
-// All callers see one receipt. Sendings of one deposit arrive at three VMs while it runs at one of them: the others find the claim in the
-// log and join the holder's run over the peers' channel.
-TEST_CASE("sendings at several VMs join one run")
+// Requests with the same key arrive at three VMs while the deposit runs at one of them: the other VMs find the claim in the log and join
+// the holder's run over the peer connection.
+TEST_CASE("resends at several VMs join one run")
 {
     TestDeployment deployment(TestDeploymentOptions{.vms = 3});
     deployment.booking().setFaults(R"({"plain_delay_ms":700})");
@@ -174,9 +173,9 @@
     CHECK(countEvents(deployment.booking().log(), "run") == 1);
 }
 
-// The caller that turns to another VM hears "unknown", and after the holder's return still so; the deposit never runs again. The holder
-// is killed while the deposit runs: its claim outlives it in the log, and nobody else knows how the run ended.
-TEST_CASE("a deposit whose entry VM dies is unknown at the other VMs and runs once")
+// The holder of the claim is killed while the deposit runs. Its claim remains in the log and no other VM knows how the run ended, so the
+// outcome stays "unknown" after the holder has restarted as well.
+TEST_CASE("a deposit whose entry VM is killed is unknown at the other VMs and runs once")
 {
     TestDeployment deployment(TestDeploymentOptions{.vms = 3});
     deployment.booking().setFaults(R"({"plain_delay_ms":2000})");
--- a/tests/process/leavingtest.cpp
+++ b/tests/process/leavingtest.cpp
@@ -8,9 +8,9 @@
 using namespace cumindyke;
 using namespace cumindyke::test;
 
-// Callers notice nothing. The platform's list says that the VM of one engine is leaving; once that is known every draft goes to the other
-// engine, and a list that can't be read changes nothing.
-TEST_CASE("an upstream whose VM the platform lists as leaving gets no new work")
+// The platform's list marks the VM of one engine as leaving: once the daemon has read the list, all requests go to the other engine, and a
+// list that cannot be parsed changes nothing.
+TEST_CASE("an upstream whose VM the platform lists as leaving gets no new requests")
 {
     const TemporaryFolder folder;
     const std::string list = folder.file("vms.json");
@@ -28,8 +28,8 @@
     CHECK(countEvents(deployment.drafting(0).log(), "run") == before);
 }
 
-// The caller's answer is cut by the declared limit, and the log says so: the only thing that shortens a graceful shutdown.
-TEST_CASE("a declared limit ends a graceful shutdown and is logged")
+// Nothing else shortens a graceful shutdown: running answers are cut when drain_limit_ms has passed.
+TEST_CASE("the drain limit ends a graceful shutdown and is logged")
 {
     TestDeployment deployment(TestDeploymentOptions{.upstreamArguments = {"--step-ms", "1000"}, .extraSettings = "drain_limit_ms = 300\n"});
     std::thread caller([&deployment] { deployment.draft("long", 1000); });
--- a/tests/process/wholeanswerstest.cpp
+++ b/tests/process/wholeanswerstest.cpp
@@ -16,9 +16,9 @@
 
 }
 
-// The caller sees one whole answer without a pause. The engine's connection ends after every three tokens; each time the daemon goes on
-// by id and offset on a new connection, and the engine runs the request once.
-TEST_CASE("a stream whose connection is cut again and again arrives whole and ran once")
+// The engine's connection ends after every three tokens. Each time the daemon resumes the stream by request id and offset on a new
+// connection.
+TEST_CASE("a stream whose connection is cut repeatedly arrives complete and runs once")
 {
     TestDeployment deployment;
     deployment.drafting().setFaults(R"({"cut_after":3})");
@@ -31,9 +31,9 @@
     CHECK(countEvents(deployment.drafting().log(), "resume") >= 3);
 }
 
-// The caller sees a pause and then the rest. The connection goes silent for good after four tokens while the engine works on; the
-// progress timeout ends it and a new connection continues. Without the timeout the caller would wait for ever.
-TEST_CASE("a stream whose connection goes silent arrives whole and ran once")
+// The connection delivers nothing after four tokens while the engine works on. The progress timeout closes it and a new connection resumes
+// the stream; without the timeout the caller would wait for ever.
+TEST_CASE("a stream whose connection stalls arrives complete and runs once")
 {
     TestDeployment deployment;
     deployment.drafting().setFaults(R"({"silent_after":4})");
@@ -43,9 +43,9 @@
     CHECK(countEvents(deployment.drafting().log(), "run") == 1);
 }
 
-// Each caller sees its own answer. The upstream answers with another request's id; the daemon drops that answer unread, counts it and
-// fetches its own by id. Passing it on would show a family another family's guest list.
-TEST_CASE("crossed answers reach nobody and each caller gets its own")
+// The upstream answers with the id of another request. The daemon drops that answer unread, counts it and fetches the right one by id:
+// forwarding it would disclose one caller's data to another.
+TEST_CASE("crossed answers are dropped and each caller gets its own answer")
 {
     TestDeployment deployment;
     deployment.drafting().setFaults(R"({"crossed":true})");
@@ -62,9 +62,9 @@
     CHECK(deployment.metrics().find("cumindyke_wrong_answers_total 8") != std::string::npos);
 }
 
-// The caller sees the beginning and then an error that says that the request ran in part, never an end marker. The engine is killed
-// between two tokens; resumes are refused, and the request is not sent to the other engine, because it ran.
-TEST_CASE("an engine killed in the middle of a stream leaves a typed end and no second run")
+// The engine is killed between two tokens. The caller receives the beginning and then an error event with the outcome "ran", never an end
+// marker. Resumes are refused, and the request is not sent to the other engine, because it has run in part.
+TEST_CASE("a stream whose engine is killed ends with a typed error and does not run again")
 {
     TestDeployment deployment(TestDeploymentOptions{.draftingUpstreams = 2, .upstreamArguments = {"--step-ms", "50"}});
     std::future<HttpAnswer> answer = std::async(std::launch::async, [&deployment] { return deployment.draft(Prompt, 200); });
@@ -82,9 +82,9 @@
     CHECK(countEvents(deployment.drafting(1 - killed).log(), "run") == 0);
 }
 
-// The engine is told to stop when nobody waits any more: the caller closes its connection after the first token, and the engine's log
-// shows the cancellation long before the last of the ten thousand tokens.
-TEST_CASE("a caller that leaves has its stream cancelled at the engine")
+// The caller closes its connection after the first token, and the engine's log shows the cancellation long before the last of the ten
+// thousand tokens.
+TEST_CASE("the stream of a caller that disconnects is cancelled at the engine")
 {
     TestDeployment deployment;
     EventLoop loop;
@@ -107,16 +107,16 @@
     });
     call->start();
     loop.run();
-    // The connection is freed by the loop after the callback.
-    Timer rest(loop, [&loop] { loop.stop(); });
-    rest.startOnce(std::chrono::milliseconds(1));
+    // The event loop frees the connection after the callback.
+    Timer runOnce(loop, [&loop] { loop.stop(); });
+    runOnce.startOnce(std::chrono::milliseconds(1));
     loop.run();
     CHECK(eventually([&deployment] { return countEvents(deployment.drafting().log(), "cancel") == 1; }));
     CHECK(deployment.metrics().find("cumindyke_stream_cancels_total 1") != std::string::npos);
 }
 
-// The caller gets its answer from the other engine. One engine refuses unrun, which is the proof that lets the daemon try elsewhere.
-TEST_CASE("a refusal that names itself unrun is followed by another upstream")
+// The refusal states that the request did not run, which permits another attempt elsewhere.
+TEST_CASE("a request that an upstream refused without running it goes to another upstream")
 {
     TestDeployment deployment(TestDeploymentOptions{.draftingUpstreams = 2});
     deployment.drafting(0).setFaults(R"({"refuse":true})");
