--- a/src/bench/placementrig.cpp
+++ b/src/bench/placementrig.cpp
@@ -332,9 +332,9 @@
     vm.advanceScheduled = false;
     vm.lastAdvancedAt = m_now;
     for (auto &[to, reply] : vm.server->advance(m_now)) {
-        Vm &requester = *std::ranges::find(m_vms, to, &Vm::name);
-        const Duration delay = &requester == &vm ? Duration::zero() : LocalDelay;
-        schedule(m_now + delay, [this, &requester, from = vm.name, reply = std::move(reply)] { handleReply(requester, from, reply); });
+        Vm &receiver = *std::ranges::find(m_vms, to, &Vm::name);
+        const Duration delay = &receiver == &vm ? Duration::zero() : LocalDelay;
+        schedule(m_now + delay, [this, &receiver, from = vm.name, reply = std::move(reply)] { handleReply(receiver, from, reply); });
     }
     if (vm.noticeSequence == 0) {
         sendNotice(vm);
--- a/src/control/controltask.h
+++ b/src/control/controltask.h
@@ -198,7 +198,7 @@
     void replyWhenInForce(const VmName &from, std::uint64_t call, const v1::ProposeReply &reply);
     void sendReply(const VmName &to, std::uint64_t call, v1::ProposeReply reply);
     std::optional<v1::LeaderAnswer> makeAnswer(const v1::LeaderQuestion &question, TimePoint now) const;
-    std::string leaderHintFor(const VmName &requester) const;
+    std::string leaderHintFor(const VmName &vm) const;
     void handleHeartbeat(const VmName &from, const v1::ConfigHeartbeat &heartbeat);
     void sendLeaderHint(const VmName &to, const v1::ConfigHeartbeat &heartbeat, const std::string &leader);
     void answerDeferredHeartbeats(TimePoint now);
--- a/src/control/controltaskleader.cpp
+++ b/src/control/controltaskleader.cpp
@@ -270,10 +270,10 @@
 }
 
 /// Returns the leader to name to a VM; empty if none is known, or if it would be the requesting VM or this one.
-std::string ControlTask::leaderHintFor(const VmName &requester) const
+std::string ControlTask::leaderHintFor(const VmName &vm) const
 {
     const VmName leader = m_leaderSearch.hint().value_or(VmName{});
-    return leader == requester || leader == m_options.vm ? "" : leader.value;
+    return leader == vm || leader == m_options.vm ? "" : leader.value;
 }
 
 void ControlTask::handleHeartbeat(const VmName &from, const v1::ConfigHeartbeat &heartbeat)
