--- a/tests/control/followertest.cpp
+++ b/tests/control/followertest.cpp
@@ -72,7 +72,7 @@
 TEST_CASE("changes that start after the revision in force are not applied")
 {
     StateMachine state;
-    accept(state, smallOffice());
+    accept(state, smallDeployment());
     accept(state, {organisationChange(1)});
     Follower follower = makeFollower();
     CHECK(follower.applyUpdate(makeConfigUpdate(state, Revision{1})) == Follower::UpdateResult::Gap);
@@ -87,7 +87,7 @@
 TEST_CASE("a VM whose declarations do not fit the changes requests the full declarations")
 {
     StateMachine state;
-    accept(state, smallOffice());
+    accept(state, smallDeployment());
     Follower follower = makeFollower();
     v1::ConfigUpdate broken = makeConfigUpdate(state, Revision{0});
     broken.mutable_changes(0)->clear_changes();
@@ -104,7 +104,7 @@
 TEST_CASE("a cell assigned to an earlier process of the VM has no holder")
 {
     StateMachine state;
-    accept(state, smallOffice());
+    accept(state, smallDeployment());
     v1::Command assign;
     assign.set_command_id("assign");
     assign.mutable_assign_cell()->set_cell("drafting/dc-0");
--- a/tests/control/leaseshistorytest.cpp
+++ b/tests/control/leaseshistorytest.cpp
@@ -51,7 +51,7 @@
     std::uint64_t admitted = 0;
     for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
         VirtualCluster cluster({.vms = Vms, .seed = seed});
-        cluster.accept(smallOffice());
+        cluster.accept(smallDeployment());
         for (int i = 0; i < 3'000; ++i) {
             if (cluster.random(40) == 0) {
                 cluster.accept(organisationChange(static_cast<int>(cluster.random(30))));
@@ -83,7 +83,7 @@
 TEST_CASE("a VM that is cut off stops admitting work, and admits it again with the newest configuration")
 {
     VirtualCluster cluster({.vms = 4, .seed = 7, .lossPermille = 0, .duplicatePermille = 0, .delayedPermille = 0});
-    cluster.accept(smallOffice());
+    cluster.accept(smallDeployment());
     cluster.run(std::chrono::seconds(3));
     REQUIRE(cluster.admits(3));
     cluster.cut(3, true, true);
@@ -104,7 +104,7 @@
 TEST_CASE("a leader without a quorum stops admitting work")
 {
     VirtualCluster cluster({.vms = 4, .seed = 8, .lossPermille = 0, .duplicatePermille = 0, .delayedPermille = 0});
-    cluster.accept(smallOffice());
+    cluster.accept(smallDeployment());
     cluster.run(std::chrono::seconds(3));
     REQUIRE(cluster.admits(0));
     cluster.cut(0, true, true);
@@ -120,7 +120,7 @@
 TEST_CASE("a cell gets another scheduler within three seconds after a crash")
 {
     VirtualCluster cluster({.vms = 6, .seed = 9, .lossPermille = 0, .duplicatePermille = 0, .delayedPermille = 0});
-    cluster.accept(smallOffice());
+    cluster.accept(smallDeployment());
     cluster.run(std::chrono::seconds(5));
     const int first = cluster.holderOf("drafting/dc-1");
     REQUIRE(first >= 3);
@@ -137,7 +137,7 @@
 TEST_CASE("the cells of a draining VM move before its lease ends")
 {
     VirtualCluster cluster({.vms = 6, .seed = 10, .lossPermille = 0, .duplicatePermille = 0, .delayedPermille = 0});
-    cluster.accept(smallOffice());
+    cluster.accept(smallDeployment());
     cluster.run(std::chrono::seconds(5));
     const int first = cluster.holderOf("drafting/dc-0");
     REQUIRE(first >= 0);
@@ -152,7 +152,7 @@
 TEST_CASE("the cells of a draining VM that receives nothing move after its lease ends")
 {
     VirtualCluster cluster({.vms = 6, .seed = 12, .lossPermille = 0, .duplicatePermille = 0, .delayedPermille = 0});
-    cluster.accept(smallOffice());
+    cluster.accept(smallDeployment());
     cluster.run(std::chrono::seconds(5));
     cluster.elect(5);
     cluster.run(std::chrono::seconds(5));
@@ -173,7 +173,7 @@
 TEST_CASE("a restarted VM never admits work under an older configuration than before its restart")
 {
     VirtualCluster cluster({.vms = 3, .seed = 13, .lossPermille = 0, .duplicatePermille = 0, .delayedPermille = 500});
-    cluster.accept(smallOffice());
+    cluster.accept(smallDeployment());
     cluster.run(std::chrono::seconds(10));
     for (int i = 0; i < 400; ++i) {
         cluster.accept(organisationChange(i));
@@ -191,7 +191,7 @@
 TEST_CASE("a restarted holder schedules its cell only under a new epoch")
 {
     VirtualCluster cluster({.vms = 3, .seed = 11, .lossPermille = 0, .duplicatePermille = 0, .delayedPermille = 0});
-    cluster.accept(smallOffice());
+    cluster.accept(smallDeployment());
     cluster.run(std::chrono::seconds(5));
     const int first = cluster.holderOf("drafting/dc-0");
     REQUIRE(first >= 0);
@@ -214,7 +214,7 @@
     std::size_t confirmations = 0;
     for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
         VirtualCluster cluster({.vms = Vms, .seed = seed, .keepAdmitting = std::chrono::milliseconds(1'800)});
-        cluster.accept(smallOffice());
+        cluster.accept(smallDeployment());
         for (int i = 0; i < 3'000; ++i) {
             if (cluster.random(40) == 0) {
                 cluster.accept(organisationChange(static_cast<int>(cluster.random(30))));
--- a/tests/control/statemachinetest.cpp
+++ b/tests/control/statemachinetest.cpp
@@ -37,7 +37,7 @@
 StateMachine office()
 {
     StateMachine state;
-    REQUIRE(outcomeOf(state, applyCommand("office", 0, smallOffice())) == v1::CommandReply::ACCEPTED);
+    REQUIRE(outcomeOf(state, applyCommand("office", 0, smallDeployment())) == v1::CommandReply::ACCEPTED);
     return state;
 }
 
@@ -121,7 +121,7 @@
 {
     StateMachine state = office();
     StateMachine other;
-    outcomeOf(other, applyCommand("elsewhere", 0, smallOffice()));
+    outcomeOf(other, applyCommand("elsewhere", 0, smallDeployment()));
     const v1::CommandReply reply = state.apply(restoreCommand("restore", other.snapshot())).reply();
     CHECK(reply.outcome() == v1::CommandReply::INVALID);
     CHECK(reply.message().find("another history") != std::string::npos);
--- a/tests/control/virtualcluster.cpp
+++ b/tests/control/virtualcluster.cpp
@@ -289,7 +289,7 @@
     }
 }
 
-std::vector<v1::Change> smallOffice()
+std::vector<v1::Change> smallDeployment()
 {
     std::vector<v1::Change> changes{
         toWire(Tier{.name = TierName{"committee"}, .rank = TierRank{0}}),
--- a/tests/control/virtualcluster.h
+++ b/tests/control/virtualcluster.h
@@ -138,7 +138,7 @@
 };
 
 /// A small office: two data centres, a tier, a service and an upstream in each data centre.
-std::vector<v1::Change> smallOffice();
+std::vector<v1::Change> smallDeployment();
 v1::Change organisationChange(int number);
 
 }
