--- a/src/bench/enginemodel.cpp
+++ b/src/bench/enginemodel.cpp
@@ -62,8 +62,8 @@
     m_slowness = factor;
 }
 
-/// Plans the next step: admits waiting requests in order of arrival while the batch has free slots, divides the prefill budget among
-/// the sequences that need it, in order, and computes the duration of the step from its decoding and prefill.
+/// Plans the next step. Step 1. Admits waiting requests in order of arrival while the batch has free slots. Step 2. Divides the prefill budget
+/// among the sequences that need it, in order. Step 3. Computes the duration of the step from its decoding and prefill.
 void EngineModel::planStep(TimePoint now)
 {
     admitWaiting(now);
--- a/src/bench/oraclepolicy.cpp
+++ b/src/bench/oraclepolicy.cpp
@@ -31,8 +31,8 @@
     dispatchQueued(request.service, now);
 }
 
-/// Dispatches queued requests in order. A request that can't finish in time on any live upstream is refused, after all requests of
-/// lower tiers. The others get the free slot where they finish first. A request that only a full upstream could serve in time stays
+/// Dispatches queued requests in order. Step 1. A request that can't finish in time on any live upstream is refused, after all requests of
+/// lower tiers. Step 2. The others get the free slot where they finish first. A request that only a full upstream could serve in time stays
 /// queued, and later requests may be dispatched before it.
 void OraclePolicy::dispatchQueued(const ServiceName &service, TimePoint now)
 {
